--- a/bench/lanes.py
+++ b/bench/lanes.py
@@ -86,7 +86,9 @@
             await trio.sleep(REPORT_LAG_S)
             for scheduler in schedulers:
                 for index, running in enumerate(seen):
-                    scheduler.take_report(f"e{index}", LoadReport(running, 0, False, taken_at))
+                    scheduler.apply_load_report(
+                        f"e{index}", LoadReport(running, 0, False, taken_at)
+                    )
 
     async def request(scheduler: PoolScheduler) -> None:
         now = trio.current_time()
--- a/railtide/edge/pools.py
+++ b/railtide/edge/pools.py
@@ -122,11 +122,11 @@
         if scheduler is None:
             return
         if notice.load:
-            scheduler.take_report(upstream.name, notice.load)
+            scheduler.apply_load_report(upstream.name, notice.load)
         if notice.limit:
-            scheduler.notices.take_limit(upstream.name, notice.limit)
+            scheduler.notices.apply_limit_report(upstream.name, notice.limit)
         if notice.rest_s:
-            scheduler.notices.take_rest(upstream.name, notice.rest_s)
+            scheduler.notices.apply_rest(upstream.name, notice.rest_s)
         if notice.leaving:
             self.listed.note_leaving(upstream)
             self.listed.settle()
--- a/railtide/lanes/admission.py
+++ b/railtide/lanes/admission.py
@@ -22,7 +22,7 @@
 requests a second that it bears; infinite where the router is to send it none."""
 
 
-class Hold(StrEnum):
+class BlockReason(StrEnum):
     """What keeps a router's requests from an upstream."""
 
     LEAVING = "leaving"
@@ -73,23 +73,23 @@
         if self._is_closed(upstream):
             return math.inf
         if upstream.limit.per_s == math.inf and not self._is_slow(upstream, now):
-            return upstream.rests_until
+            return upstream.resting_until
         pause_s = self.pause_s(upstream, now)
         if math.isinf(pause_s):
             return math.inf
-        return max(upstream.rests_until, upstream.sent_at + pause_s)
+        return max(upstream.resting_until, upstream.sent_at + pause_s)
 
-    def hold_of(self, upstream: Upstream, now: float) -> Hold | None:
+    def block_reason(self, upstream: Upstream, now: float) -> BlockReason | None:
         """Return what keeps this router's requests from an upstream now."""
         if now >= self.opens_at(upstream, now):
             return None
         if is_leaving(upstream):
-            return Hold.LEAVING
+            return BlockReason.LEAVING
         if self._is_closed(upstream):
-            return Hold.DRAINED
-        if now < upstream.rests_until:
-            return Hold.RESTING
-        return Hold.LIMITED if upstream.limit.in_force else Hold.COLD
+            return BlockReason.DRAINED
+        if now < upstream.resting_until:
+            return BlockReason.RESTING
+        return BlockReason.LIMITED if upstream.limit.in_force else BlockReason.COLD
 
     def _is_closed(self, upstream: Upstream) -> bool:
         return is_leaving(upstream) or upstream.instance.failure_domain in self._drained
@@ -99,7 +99,7 @@
         opens_at = self.opens_at(upstream, now)
         if not self._is_slow(upstream, now):
             return opens_at
-        return min(opens_at, max(upstream.rests_until, upstream.cold_until))
+        return min(opens_at, max(upstream.resting_until, upstream.cold_until))
 
     def pause_s(self, upstream: Upstream, now: float) -> float:
         """Return the least time between two requests of this router to a paced upstream.
--- a/railtide/lanes/pool_notices.py
+++ b/railtide/lanes/pool_notices.py
@@ -18,7 +18,7 @@
 
 __all__ = ["MOST_REST_S", "PoolNotices"]
 
-MOST_REST_S = 60.0
+MAX_REST_S = 60.0
 """A longer rest counts as this one: an upstream is not given up by one word."""
 
 
@@ -36,7 +36,7 @@
         self._upstreams = upstreams
         self._on_change = on_change
 
-    def take_limit(self, name: str, report: LimitReport) -> None:
+    def apply_limit_report(self, name: str, report: LimitReport) -> None:
         """Take what an upstream's answer says of its limit."""
         upstream = self._upstreams.by_name[name]
         before = upstream.limit.per_s
@@ -44,18 +44,18 @@
             self._log_limit(upstream, before, "answer")
             self._on_change()
 
-    def take_rest(self, name: str, rest_s: float) -> None:
+    def apply_rest(self, name: str, rest_s: float) -> None:
         """Take an upstream's word that it wants nothing from this router for some seconds."""
         now = trio.current_time()
         upstream = self._upstreams.by_name[name]
-        until = now + min(rest_s, MOST_REST_S)
-        if until <= upstream.rests_until:
+        until = now + min(rest_s, MAX_REST_S)
+        if until <= upstream.resting_until:
             return
-        if now >= upstream.rests_until:
+        if now >= upstream.resting_until:
             logger.bind(
                 upstream=name, incarnation=upstream.instance.incarnation, rest_s=rest_s
             ).info("upstream-rests")
-        upstream.rests_until = until
+        upstream.resting_until = until
         self._on_change()
 
     def take_limit_news(self, news: LimitNews, heard_at: float) -> None:
--- a/railtide/lanes/pool_upstreams.py
+++ b/railtide/lanes/pool_upstreams.py
@@ -4,7 +4,7 @@
 from collections import Counter
 from collections.abc import Callable, Sequence
 
-from railtide.lanes.admission import Admission, Hold
+from railtide.lanes.admission import Admission, BlockReason
 from railtide.lanes.queue import Urgency
 from railtide.membership.instances import Instance
 from railtide.upstreams.load import REPORT_MAX_AGE_S, Upstream, is_ejected
@@ -101,8 +101,8 @@
 
     def held(self, now: float) -> str:
         """Return how many upstreams are kept from this router's requests, by what keeps them."""
-        holds = Counter(self.admission.hold_of(u, now) for u in self.by_name.values())
-        return ", ".join(f"{holds[hold]} {hold}" for hold in Hold if holds[hold])
+        holds = Counter(self.admission.block_reason(u, now) for u in self.by_name.values())
+        return ", ".join(f"{holds[hold]} {hold}" for hold in BlockReason if holds[hold])
 
     def is_free(self, upstream: Upstream, urgency: Urgency, now: float) -> bool:
         """Return whether an upstream takes one more request now."""
@@ -189,7 +189,7 @@
         """
         served = 0.0
         for upstream in self.staying(now):
-            if now < upstream.rests_until:
+            if now < upstream.resting_until:
                 continue
             if self.admission.is_paced(upstream, now):
                 served += 1 / self.admission.pause_s(upstream, now)
--- a/railtide/lanes/scheduler.py
+++ b/railtide/lanes/scheduler.py
@@ -150,7 +150,7 @@
         """Take this router's part of what upstreams with a limit are sent."""
         self._upstreams.admission.set_limit_shares(shares)
 
-    def take_report(self, name: str, report: LoadReport) -> None:
+    def apply_load_report(self, name: str, report: LoadReport) -> None:
         """Take an upstream's load report; leaving is sticky."""
         upstream = self.by_name.get(name)
         if upstream is None:
--- a/railtide/lanes/tests/test_admission.py
+++ b/railtide/lanes/tests/test_admission.py
@@ -6,7 +6,7 @@
 import pytest
 import trio
 
-from railtide.lanes.admission import Admission, Hold
+from railtide.lanes.admission import Admission, BlockReason
 from railtide.lanes.errors import DeadlineTooNear, NoUpstream
 from railtide.lanes.queue import Urgency
 from railtide.lanes.scheduler import PoolScheduler, WaitingRequest
@@ -27,33 +27,33 @@
 class TestHolds:
     def test_open_upstream_has_none(self) -> None:
         admission = Admission()
-        assert admission.hold_of(upstream(), NOW) is None
+        assert admission.block_reason(upstream(), NOW) is None
         assert admission.opens_at(upstream(), NOW) < NOW
 
     @pytest.mark.parametrize(
         ("fields", "hold", "opens_at"),
         [
-            ({"leaving": True, "rests_until": NOW + 9}, Hold.LEAVING, math.inf),
-            ({"rests_until": NOW + 2}, Hold.RESTING, NOW + 2),
-            ({"limit": StatedLimit(0.5)}, Hold.LIMITED, NOW + 1.9),
-            ({"cold_until": NOW + 9}, Hold.COLD, NOW + 0.4),
-            ({"limit": StatedLimit(0.5), "rests_until": NOW + 5}, Hold.RESTING, NOW + 5),
-            ({"limit": StatedLimit(0.5), "cold_until": NOW + 9}, Hold.LIMITED, NOW + 1.9),
+            ({"leaving": True, "rests_until": NOW + 9}, BlockReason.LEAVING, math.inf),
+            ({"rests_until": NOW + 2}, BlockReason.RESTING, NOW + 2),
+            ({"limit": StatedLimit(0.5)}, BlockReason.LIMITED, NOW + 1.9),
+            ({"cold_until": NOW + 9}, BlockReason.COLD, NOW + 0.4),
+            ({"limit": StatedLimit(0.5), "rests_until": NOW + 5}, BlockReason.RESTING, NOW + 5),
+            ({"limit": StatedLimit(0.5), "cold_until": NOW + 9}, BlockReason.LIMITED, NOW + 1.9),
         ],
     )
-    def test_each_is_told_with_its_end(self, fields, hold: Hold, opens_at: float) -> None:
+    def test_each_is_told_with_its_end(self, fields, hold: BlockReason, opens_at: float) -> None:
         admission = Admission()
         admission.set_slow_start(SlowStart(2.0, 3.0), lambda name, per_s: 1 / per_s)
         held = upstream(**fields)
-        assert admission.hold_of(held, NOW) is hold
+        assert admission.block_reason(held, NOW) is hold
         assert admission.opens_at(held, NOW) == pytest.approx(opens_at)
 
     def test_drain_of_its_domain_closes_it(self) -> None:
         admission = Admission()
         assert admission.set_drained(frozenset({"a"})) == frozenset()
-        assert admission.hold_of(upstream(), NOW) is Hold.DRAINED
+        assert admission.block_reason(upstream(), NOW) is BlockReason.DRAINED
         assert admission.set_drained(frozenset()) == frozenset({"a"})
-        assert admission.hold_of(upstream(), NOW) is None
+        assert admission.block_reason(upstream(), NOW) is None
 
     def test_upstream_that_others_are_to_send_to_never_opens(self) -> None:
         admission = Admission()
@@ -69,8 +69,8 @@
         leaving = Instance("l", "l", "l:1", "a", "engine", "p", 4, state=InstanceState.LEAVING)
         scheduler.set_upstreams([*made, leaving])
         for number in range(3):
-            scheduler.notices.take_rest(f"e{number}", 5.0)
-        scheduler.notices.take_limit("e3", LimitReport(0.5, trio.current_time()))
+            scheduler.notices.apply_rest(f"e{number}", 5.0)
+        scheduler.notices.apply_limit_report("e3", LimitReport(0.5, trio.current_time()))
         request = WaitingRequest("a", Urgency.BULK, 1, 1, math.inf, Affinity())
         scheduler.release(await scheduler.acquire(request))
         now = trio.current_time()
--- a/railtide/lanes/tests/test_drawn_notices.py
+++ b/railtide/lanes/tests/test_drawn_notices.py
@@ -57,7 +57,7 @@
         await trio.sleep(self.rng.uniform(0.001, 0.05))
         now = trio.current_time()
         self.rests_by_engine[name].append(Rest(router.name, now, now + rest_s))
-        router.scheduler.notices.take_rest(name, rest_s)
+        router.scheduler.notices.apply_rest(name, rest_s)
         return False
 
     def _tell_leaving(self, router: Router, name: str) -> None:
--- a/railtide/lanes/tests/test_scheduler.py
+++ b/railtide/lanes/tests/test_scheduler.py
@@ -192,11 +192,11 @@
 
     async def test_leaving_upstream_gets_no_new_work(self, autojump_clock) -> None:
         scheduler = make("a", "b")
-        scheduler.take_report("a", LoadReport(0, 0, True, 0.0))
-        scheduler.take_report("a", LoadReport(0, 0, False, 1.0))
+        scheduler.apply_load_report("a", LoadReport(0, 0, True, 0.0))
+        scheduler.apply_load_report("a", LoadReport(0, 0, False, 1.0))
         slots = await fill(scheduler, 3)
         assert {slot.upstream.instance.name for slot in slots} == {"b"}
-        scheduler.take_report("b", LoadReport(0, 0, True, 2.0))
+        scheduler.apply_load_report("b", LoadReport(0, 0, True, 2.0))
         with pytest.raises(NoUpstream):
             await scheduler.acquire(request())
 
@@ -212,7 +212,7 @@
     async def test_list_that_lost_most_upstreams_is_not_believed(self, autojump_clock) -> None:
         scheduler = make("a", "b", "c")
         for name in "abc":
-            scheduler.take_report(name, LoadReport(0, 0, False, trio.current_time()))
+            scheduler.apply_load_report(name, LoadReport(0, 0, False, trio.current_time()))
         scheduler.set_upstreams([])
         assert set(scheduler.by_name) == {"a", "b", "c"}
         await trio.sleep(10)
@@ -222,7 +222,7 @@
     async def test_list_that_lost_one_upstream_is(self, autojump_clock) -> None:
         scheduler = make("a", "b", "c")
         for name in "abc":
-            scheduler.take_report(name, LoadReport(0, 0, False, trio.current_time()))
+            scheduler.apply_load_report(name, LoadReport(0, 0, False, trio.current_time()))
         scheduler.set_upstreams(pool("a", "b"))
         assert set(scheduler.by_name) == {"a", "b"}
 
--- a/railtide/lanes/tests/test_slow_start.py
+++ b/railtide/lanes/tests/test_slow_start.py
@@ -80,7 +80,9 @@
         for scheduler in fleet.schedulers:
             for name in scheduler.by_name:
                 busy = 0 if name == "cold" else 12
-                scheduler.take_report(name, LoadReport(busy, 0, False, trio.current_time() + 9))
+                scheduler.apply_load_report(
+                    name, LoadReport(busy, 0, False, trio.current_time() + 9)
+                )
         await play(fleet, per_s=150, for_s=8)
         assert fleet.refused == []
         assert fleet.most_in_a_second("cold") <= 7.7
@@ -94,7 +96,9 @@
             scheduler.set_slow_start(SlowStart(), lambda name, per_s: 0.0)
             for name in scheduler.by_name:
                 busy = 0 if name == "cold" else 12
-                scheduler.take_report(name, LoadReport(busy, 0, False, trio.current_time() + 9))
+                scheduler.apply_load_report(
+                    name, LoadReport(busy, 0, False, trio.current_time() + 9)
+                )
         await play(fleet, per_s=150, for_s=8)
         assert fleet.most_in_a_second("cold") > ALLOWED
 
--- a/railtide/lanes/tests/test_stated_limits.py
+++ b/railtide/lanes/tests/test_stated_limits.py
@@ -127,7 +127,7 @@
             return False
         if math.isfinite(stated):
             engine.told_at_by_router.setdefault(router.name, trio.current_time())
-        router.scheduler.notices.take_limit(name, LimitReport(stated, sent_at))
+        router.scheduler.notices.apply_limit_report(name, LimitReport(stated, sent_at))
         await trio.sleep(self.rng.uniform(0.0, 1.0))
         return True
 
@@ -301,7 +301,9 @@
             for urgency in (Urgency.URGENT, Urgency.BULK) * 4:
                 nursery.start_soon(wait, urgency)
             await trio.sleep(0.1)
-            scheduler.notices.take_limit("e0", LimitReport(1.0, sent_at=trio.current_time()))
+            scheduler.notices.apply_limit_report(
+                "e0", LimitReport(1.0, sent_at=trio.current_time())
+            )
             await trio.lowlevel.checkpoint()
             scheduler.release(taken.pop())
         assert served == [Urgency.URGENT] * 2
@@ -316,7 +318,9 @@
             for _ in range(4):
                 nursery.start_soon(scheduler.acquire, waiting_for(2.0))
             await trio.sleep(0.1)
-            scheduler.notices.take_limit("e0", LimitReport(1.0, sent_at=trio.current_time()))
+            scheduler.notices.apply_limit_report(
+                "e0", LimitReport(1.0, sent_at=trio.current_time())
+            )
             for slot in taken:
                 scheduler.release(slot)
 
@@ -328,7 +332,7 @@
         engine = fleet.engine_by_name["e0"]
         engine.state(4.0)
         await fleet.play(per_s=20, for_s=2.0)
-        scheduler.notices.take_rest("e0", 3.0)
+        scheduler.notices.apply_rest("e0", 3.0)
         asked_at = trio.current_time()
         await fleet.play(per_s=20, for_s=5.0)
         assert [at for at, _ in engine.arrivals if at > asked_at][0] >= asked_at + 3.0
--- a/railtide/platform/tests/test_resting_engines.py
+++ b/railtide/platform/tests/test_resting_engines.py
@@ -10,7 +10,7 @@
 
 from railtide.http.errors import ConnectionLost
 from railtide.http.messages import first_header
-from railtide.lanes.pool_notices import MOST_REST_S
+from railtide.lanes.pool_notices import MAX_REST_S
 from railtide.platform.tests.router_fleet import open_router_fleet
 from railtide.platform.tests.test_whole_path import body_of, world
 from railtide.standins.platform import EngineScript
@@ -74,10 +74,10 @@
         async with world() as w:
             await w.add_engine("e1")
             scheduler = w.node.schedulers_by_pool["s"]
-            scheduler.notices.take_rest("e1", 3.0)
-            until_before = scheduler.by_name["e1"].rests_until
-            scheduler.notices.take_rest("e1", 1.0)
-            assert scheduler.by_name["e1"].rests_until == until_before
+            scheduler.notices.apply_rest("e1", 3.0)
+            until_before = scheduler.by_name["e1"].resting_until
+            scheduler.notices.apply_rest("e1", 1.0)
+            assert scheduler.by_name["e1"].resting_until == until_before
 
     @pytest.mark.parametrize("rest", ["0", "", "-1", "nan", "Thu, 03 Dec 2026 12:00:00 GMT"])
     async def test_what_is_no_time_asks_for_no_rest(self, rest: str) -> None:
@@ -93,8 +93,8 @@
             engine = await w.add_engine("e1")
             engine.rest = "1000000"
             await w.ask("/safe/x")
-            rests_until = w.node.schedulers_by_pool["s"].by_name["e1"].rests_until
-            assert rests_until <= trio.current_time() + MOST_REST_S
+            resting_until = w.node.schedulers_by_pool["s"].by_name["e1"].resting_until
+            assert resting_until <= trio.current_time() + MAX_REST_S
 
     async def test_one_router_rests_for_itself_alone(self) -> None:
         async with open_router_fleet(routers=2, engines=1) as fleet:
@@ -147,6 +147,6 @@
                 await w.add_engine(name)
             scheduler = w.node.schedulers_by_pool["s"]
             scheduler.by_name["e1"].ejected_until = trio.current_time() + 30
-            scheduler.notices.take_rest("e2", 30)
+            scheduler.notices.apply_rest("e2", 30)
             assert (await w.ask("/safe/x")).status == 200
             assert len(w.engine_by_name["e1"].arrivals) == 1
--- a/railtide/requests/execution.py
+++ b/railtide/requests/execution.py
@@ -274,7 +274,7 @@
         now = trio.current_time()
         if isinstance(err, UpstreamAbsent):
             note_end(upstream, now)
-        if not isinstance(err, UpstreamRefused) or now >= upstream.rests_until:
+        if not isinstance(err, UpstreamRefused) or now >= upstream.resting_until:
             note_failure(upstream, now)
         self._services.counters.add(f"attempts_failed_{err.code.replace('-', '_')}")
         logger.bind(
--- a/railtide/router/router.py
+++ b/railtide/router/router.py
@@ -174,7 +174,7 @@
         except UpstreamError:
             self.counters.add("load_reports_missed")
             return
-        scheduler.take_report(instance.name, report)
+        scheduler.apply_load_report(instance.name, report)
 
     # -- serving ------------------------------------------------------------------------------
 
--- a/railtide/upstreams/load.py
+++ b/railtide/upstreams/load.py
@@ -72,7 +72,7 @@
         When this router last sent it a request.
     limit : StatedLimit
         What it says that it takes.
-    rests_until : float
+    resting_until : float
         Until when it wants nothing from this router.
     """
 
@@ -90,7 +90,7 @@
     cold_until: float = -math.inf
     sent_at: float = -math.inf
     limit: StatedLimit = field(default_factory=StatedLimit)
-    rests_until: float = -math.inf
+    resting_until: float = -math.inf
 
     @property
     def open_requests(self) -> int:
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -2525,28 +2525,28 @@
     Mutant(
         "rest-not-kept",
         "lanes/admission.py",
-        "            return upstream.rests_until\n",
+        "            return upstream.resting_until\n",
         "            return -math.inf\n",
         (RESTING,),
     ),
     Mutant(
         "rest-of-a-paced-upstream-not-kept",
         "lanes/admission.py",
-        "return max(upstream.rests_until, upstream.sent_at + pause_s)",
+        "return max(upstream.resting_until, upstream.sent_at + pause_s)",
         "return upstream.sent_at + pause_s",
         (STATED_LIMITS,),
     ),
     Mutant(
         "rest-counts-as-a-failure",
         "requests/execution.py",
-        "        if not isinstance(err, UpstreamRefused) or now >= upstream.rests_until:",
+        "        if not isinstance(err, UpstreamRefused) or now >= upstream.resting_until:",
         "        if True:",
         (RESTING,),
     ),
     Mutant(
         "resting-upstreams-count-as-capacity",
         "lanes/pool_upstreams.py",
-        "            if now < upstream.rests_until:\n                continue\n",
+        "            if now < upstream.resting_until:\n                continue\n",
         "",
         (RESTING,),
     ),
@@ -2560,7 +2560,7 @@
     Mutant(
         "shorter-rest-replaces-a-longer-one",
         "lanes/pool_notices.py",
-        "        if until <= upstream.rests_until:\n            return\n",
+        "        if until <= upstream.resting_until:\n            return\n",
         "",
         (RESTING,),
     ),
@@ -2574,7 +2574,7 @@
     Mutant(
         "endless-rest",
         "lanes/pool_notices.py",
-        "until = now + min(rest_s, MOST_REST_S)",
+        "until = now + min(rest_s, MAX_REST_S)",
         "until = now + rest_s",
         (RESTING,),
     ),
@@ -2595,8 +2595,8 @@
     Mutant(
         "no-failure-counts-within-a-rest",
         "requests/execution.py",
-        "        if not isinstance(err, UpstreamRefused) or now >= upstream.rests_until:",
-        "        if now >= upstream.rests_until:",
+        "        if not isinstance(err, UpstreamRefused) or now >= upstream.resting_until:",
+        "        if now >= upstream.resting_until:",
         (RESTING,),
     ),
     Mutant(
