--- a/railtide/edge/node.py
+++ b/railtide/edge/node.py
@@ -118,7 +118,7 @@
             self._load.per_second,
             lambda: self._freshness.is_behind(),
             lambda: self.treasury.read_ends(),
-            lambda: self._pools.limit_news(),
+            lambda: self._pools.limit_updates(),
         )
         self.treasury = LedgerTreasury(
             store,
--- a/railtide/edge/pools.py
+++ b/railtide/edge/pools.py
@@ -12,6 +12,7 @@
 from railtide.membership.instances import Instance
 from railtide.membership.roster import Roster
 from railtide.membership.upstream_list import UpstreamList
+from railtide.upstreams.advertised_limit import LimitUpdate
 from railtide.upstreams.choice import PrefixAffinity, TwoChoices
 from railtide.upstreams.client import UpstreamClient
 from railtide.upstreams.limit_shares import LimitShares
@@ -19,7 +20,6 @@
 from railtide.upstreams.notice import UpstreamNotice
 from railtide.upstreams.separation import Separation
 from railtide.upstreams.slow_start import SlowStart, SlowStartShares
-from railtide.upstreams.stated_limit import LimitNews
 
 __all__ = ["EdgePools"]
 
@@ -68,7 +68,7 @@
             own, lambda: [entrance.name for entrance in roster.named()]
         )
         self._limit_shares = LimitShares(own, roster.visits)
-        roster.on_limits = self.take_limit_news
+        roster.on_limits = self.apply_limit_updates
 
     # -- what the store says ------------------------------------------------------------------
 
@@ -138,17 +138,17 @@
         is_same = known is not None and known.instance.incarnation == upstream.incarnation
         return scheduler if is_same else None
 
-    def limit_news(self) -> tuple[LimitNews, ...]:
+    def limit_updates(self) -> tuple[LimitUpdate, ...]:
         """Return what other routers are to be told of upstreams' limits."""
         schedulers = self.schedulers_by_pool.values()
-        return tuple(news for scheduler in schedulers for news in scheduler.notices.limit_news())
+        return tuple(news for scheduler in schedulers for news in scheduler.notices.limit_updates())
 
-    def take_limit_news(self, told: tuple[LimitNews, ...]) -> None:
+    def apply_limit_updates(self, told: tuple[LimitUpdate, ...]) -> None:
         """Take what another router tells of upstreams' limits."""
         heard_at = trio.current_time()
         for news in told:
             for scheduler in self.schedulers_by_pool.values():
-                scheduler.notices.take_limit_news(news, heard_at)
+                scheduler.notices.apply_limit_update(news, heard_at)
 
     def eject_life(self, life: str) -> None:
         """Use a life that ended no more, by its digest, whichever router saw its end."""
--- a/railtide/lanes/admission.py
+++ b/railtide/lanes/admission.py
@@ -13,7 +13,7 @@
 from railtide.upstreams.load import Upstream, is_cold, is_leaving
 from railtide.upstreams.slow_start import SlowStart
 
-__all__ = ["Admission", "ColdPause", "Hold"]
+__all__ = ["Admission", "BlockReason", "ColdPause"]
 
 ALONE = ""
 """Name of a router that knows of no others."""
@@ -121,7 +121,7 @@
         pause = self._limit_shares.pause_s(name, per_s)
         if math.isfinite(pause):
             return pause
-        quiet_s = now - max(upstream.limit.told_at, upstream.sent_at)
+        quiet_s = now - max(upstream.limit.advertised_at, upstream.sent_at)
         if quiet_s < QUIET_S:
             return math.inf
         patience = self._limit_shares.patience_s(name, per_s)
--- a/railtide/lanes/pool_notices.py
+++ b/railtide/lanes/pool_notices.py
@@ -7,16 +7,16 @@
 from loguru import logger
 
 from railtide.lanes.pool_upstreams import PoolUpstreams
-from railtide.upstreams.load import Upstream
-from railtide.upstreams.stated_limit import (
-    LimitNews,
+from railtide.upstreams.advertised_limit import (
     LimitReport,
-    news_of,
-    note_news,
-    note_report,
+    LimitUpdate,
+    apply_report,
+    apply_update,
+    limit_update_for,
 )
+from railtide.upstreams.load import Upstream
 
-__all__ = ["MOST_REST_S", "PoolNotices"]
+__all__ = ["MAX_REST_S", "PoolNotices"]
 
 MAX_REST_S = 60.0
 """A longer rest counts as this one: an upstream is not given up by one word."""
@@ -40,7 +40,7 @@
         """Take what an upstream's answer says of its limit."""
         upstream = self._upstreams.by_name[name]
         before = upstream.limit.per_s
-        if note_report(upstream.limit, report, trio.current_time()):
+        if apply_report(upstream.limit, report, trio.current_time()):
             self._log_limit(upstream, before, "answer")
             self._on_change()
 
@@ -58,21 +58,21 @@
         upstream.resting_until = until
         self._on_change()
 
-    def take_limit_news(self, news: LimitNews, heard_at: float) -> None:
+    def apply_limit_update(self, news: LimitUpdate, heard_at: float) -> None:
         """Take what another router tells of an upstream's limit."""
         upstream = self._upstreams.by_name.get(news.upstream)
         if upstream is None or upstream.instance.incarnation != news.incarnation:
             return
         before = upstream.limit.per_s
-        if note_news(upstream.limit, news, heard_at):
+        if apply_update(upstream.limit, news, heard_at):
             self._log_limit(upstream, before, "router")
             self._on_change()
 
-    def limit_news(self) -> list[LimitNews]:
+    def limit_updates(self) -> list[LimitUpdate]:
         """Return what other routers are to be told of upstreams' limits."""
         now = trio.current_time()
         known = self._upstreams.by_name.items()
-        told = [news_of(u.limit, name, u.instance.incarnation, now) for name, u in known]
+        told = [limit_update_for(u.limit, name, u.instance.incarnation, now) for name, u in known]
         return [news for news in told if news is not None]
 
     @staticmethod
--- a/railtide/lanes/tests/test_admission.py
+++ b/railtide/lanes/tests/test_admission.py
@@ -11,10 +11,10 @@
 from railtide.lanes.queue import Urgency
 from railtide.lanes.scheduler import PoolScheduler, WaitingRequest
 from railtide.membership.instances import Instance, InstanceState
+from railtide.upstreams.advertised_limit import AdvertisedLimit, LimitReport
 from railtide.upstreams.choice import Affinity, TwoChoices
 from railtide.upstreams.load import Upstream
 from railtide.upstreams.slow_start import SlowStart
-from railtide.upstreams.stated_limit import LimitReport, StatedLimit
 
 NOW = 100.0
 
@@ -35,10 +35,14 @@
         [
             ({"leaving": True, "rests_until": NOW + 9}, BlockReason.LEAVING, math.inf),
             ({"rests_until": NOW + 2}, BlockReason.RESTING, NOW + 2),
-            ({"limit": StatedLimit(0.5)}, BlockReason.LIMITED, NOW + 1.9),
+            ({"limit": AdvertisedLimit(0.5)}, BlockReason.LIMITED, NOW + 1.9),
             ({"cold_until": NOW + 9}, BlockReason.COLD, NOW + 0.4),
-            ({"limit": StatedLimit(0.5), "rests_until": NOW + 5}, BlockReason.RESTING, NOW + 5),
-            ({"limit": StatedLimit(0.5), "cold_until": NOW + 9}, BlockReason.LIMITED, NOW + 1.9),
+            ({"limit": AdvertisedLimit(0.5), "rests_until": NOW + 5}, BlockReason.RESTING, NOW + 5),
+            (
+                {"limit": AdvertisedLimit(0.5), "cold_until": NOW + 9},
+                BlockReason.LIMITED,
+                NOW + 1.9,
+            ),
         ],
     )
     def test_each_is_told_with_its_end(self, fields, hold: BlockReason, opens_at: float) -> None:
--- a/railtide/lanes/tests/test_stated_limits.py
+++ b/railtide/lanes/tests/test_stated_limits.py
@@ -13,9 +13,9 @@
 from railtide.lanes.scheduler import PoolScheduler, Slot, WaitingRequest
 from railtide.membership.entrance_set import Visits
 from railtide.membership.instances import Instance
+from railtide.upstreams.advertised_limit import UPDATE_LAG_S, LimitReport, LimitUpdate
 from railtide.upstreams.choice import Affinity, PrefixAffinity, TwoChoices
 from railtide.upstreams.limit_shares import QUIET_S, TURN_S, LimitShares, routers_sharing
-from railtide.upstreams.stated_limit import NEWS_LAG_S, LimitNews, LimitReport
 
 WINDOW_S = 4.0
 STABLE_S = 3.0
@@ -148,15 +148,15 @@
             while True:
                 await trio.sleep(1.0)
                 for router in self.routers:
-                    news = router.scheduler.notices.limit_news()
+                    news = router.scheduler.notices.limit_updates()
                     after_s = self.rng.uniform(0, heard_after_s)
                     nursery.start_soon(self._pass_on, router, news, after_s)
 
-    async def _pass_on(self, teller: Router, told: list[LimitNews], after_s: float) -> None:
+    async def _pass_on(self, teller: Router, told: list[LimitUpdate], after_s: float) -> None:
         await trio.sleep(after_s)
         for router in self.routers:
             for news in told if router is not teller else []:
-                router.scheduler.notices.take_limit_news(news, trio.current_time())
+                router.scheduler.notices.apply_limit_update(news, trio.current_time())
 
     async def change_views(self, named: list[str], within_s: float) -> None:
         """Have callers be sent to other routers; each router hears of it in its own time."""
@@ -372,7 +372,7 @@
             await fleet.play(per_s=60, for_s=6.0)
             ended_at = trio.current_time()
             engine.state(math.inf)
-            await fleet.play(per_s=120, for_s=NEWS_LAG_S + 6.0)
+            await fleet.play(per_s=120, for_s=UPDATE_LAG_S + 6.0)
             assert used_by(fleet, engine, ended_at) >= set(fleet.named)
             nursery.cancel_scope.cancel()
 
@@ -390,7 +390,7 @@
         ended_at = trio.current_time()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(fleet.tell_news)
-            while trio.current_time() < ended_at + QUIET_S + NEWS_LAG_S + 6:
+            while trio.current_time() < ended_at + QUIET_S + UPDATE_LAG_S + 6:
                 for router in others:
                     nursery.start_soon(fleet.serve, router)
                 await trio.sleep(0.2)
--- a/railtide/membership/roster.py
+++ b/railtide/membership/roster.py
@@ -27,7 +27,7 @@
     chosen_entrances,
     visits_of,
 )
-from railtide.upstreams.stated_limit import LimitNews
+from railtide.upstreams.advertised_limit import LimitUpdate
 
 __all__ = ["Member", "Roster", "RosterOptions"]
 
@@ -89,7 +89,7 @@
         The store's era as it wrote this, and as its process wrote its first record; 0 for none.
     read : tuple of int
         Up to which offset it has read each partition of the ledgers in that era.
-    limits : tuple of LimitNews
+    limits : tuple of LimitUpdate
         What answers to it lately stated of upstreams' limits.
     """
 
@@ -104,7 +104,7 @@
     era: Annotated[int, msgspec.Meta(ge=0)] = 0
     first_era: Annotated[int, msgspec.Meta(ge=0)] = 0
     read: tuple[Annotated[int, msgspec.Meta(ge=0)], ...] = ()
-    limits: tuple[LimitNews, ...] = ()
+    limits: tuple[LimitUpdate, ...] = ()
 
 
 def _member_of(value: bytes) -> Member:
@@ -153,7 +153,7 @@
         Returns whether this router's configuration is older than it may be.
     read_ends : callable, optional
         Returns up to which offset this router has read each partition of the ledgers.
-    limit_news : callable, optional
+    limit_updates : callable, optional
         Returns what this router tells of upstreams' limits.
 
     Attributes
@@ -174,11 +174,11 @@
         load_of: Callable[[], float] = lambda: 0.0,
         is_behind: Callable[[], bool] = lambda: False,
         read_ends: Callable[[], tuple[int, ...]] = tuple,
-        limit_news: Callable[[], tuple[LimitNews, ...]] = tuple,
+        limit_updates: Callable[[], tuple[LimitUpdate, ...]] = tuple,
     ) -> None:
         self.on_heard: Callable[[], None] = lambda: None
-        self.on_limits: Callable[[tuple[LimitNews, ...]], None] = lambda news: None
-        self._limit_news = limit_news
+        self.on_limits: Callable[[tuple[LimitUpdate, ...]], None] = lambda news: None
+        self._limit_updates = limit_updates
         self._read_ends = read_ends
         self._lived_at: dict[tuple[str, str], float] = {}
         self._named_at_rise: dict[tuple[str, str], float] = {}
@@ -252,7 +252,7 @@
             era=self._store.era or 0,
             first_era=self._member.first_era or self._store.era or 0,
             read=self._read_ends(),
-            limits=self._limit_news()[:MOST_LIMITS],
+            limits=self._limit_updates()[:MOST_LIMITS],
         )
         self._member = member
         self._beat_at = trio.current_time()
--- a/railtide/membership/tests/test_roster.py
+++ b/railtide/membership/tests/test_roster.py
@@ -10,7 +10,7 @@
 
 from railtide.membership.roster import MOST_LIMITS, Member, Roster, RosterOptions
 from railtide.standins.keyed_store import MemoryStore
-from railtide.upstreams.stated_limit import LimitNews
+from railtide.upstreams.advertised_limit import LimitUpdate
 
 OPTIONS = RosterOptions()
 LEAST = OPTIONS.entrances.least
@@ -372,13 +372,13 @@
             nursery.cancel_scope.cancel()
 
 
-class TestLimitNews:
+class TestLimitUpdates:
     async def test_it_reaches_others_and_not_from_a_backlog(self, autojump_clock) -> None:
         store = MemoryStore()
-        news = (LimitNews("e1", "e1/1", 1.5, 0.5),)
+        news = (LimitUpdate("e1", "e1/1", 1.5, 0.5),)
         told = Member("a-1", "a:1", "z", 0)
-        teller = Roster(store, "a", told, OPTIONS, Random(1), limit_news=lambda: news)
-        heard: list[tuple[LimitNews, ...]] = []
+        teller = Roster(store, "a", told, OPTIONS, Random(1), limit_updates=lambda: news)
+        heard: list[tuple[LimitUpdate, ...]] = []
         listener = roster(store, "b")
         listener.on_limits = heard.append
         async with trio.open_nursery() as nursery:
@@ -398,9 +398,9 @@
 
     async def test_one_record_tells_of_so_many_at_the_most(self, autojump_clock) -> None:
         store = MemoryStore()
-        news = tuple(LimitNews(f"e{n}", "life", 1.5, 0.5) for n in range(MOST_LIMITS + 1))
+        news = tuple(LimitUpdate(f"e{n}", "life", 1.5, 0.5) for n in range(MOST_LIMITS + 1))
         teller = Roster(
-            store, "a", Member("a-1", "a:1", "z", 0), OPTIONS, Random(1), limit_news=lambda: news
+            store, "a", Member("a-1", "a:1", "z", 0), OPTIONS, Random(1), limit_updates=lambda: news
         )
         async with trio.open_nursery() as nursery:
             await start(nursery, teller)
--- a/railtide/platform/tests/test_stated_limits.py
+++ b/railtide/platform/tests/test_stated_limits.py
@@ -11,7 +11,7 @@
 
 from railtide.platform.tests.router_fleet import RouterFleet, most_within, open_router_fleet, until
 from railtide.platform.tests.test_whole_path import World, body_of, world
-from railtide.upstreams.stated_limit import NEWS_LAG_S, StatedLimit
+from railtide.upstreams.advertised_limit import UPDATE_LAG_S, AdvertisedLimit
 
 WINDOW_S = 4.0
 STABLE_S = 3.0
@@ -23,7 +23,7 @@
     return 1.5 * WINDOW_S * per_s + 5
 
 
-def limit_of(w: World, name: str) -> StatedLimit:
+def limit_of(w: World, name: str) -> AdvertisedLimit:
     return w.node.schedulers_by_pool["s"].by_name[name].limit
 
 
@@ -105,7 +105,7 @@
             engine.limit = "1.5"
             await fleet.play(per_s=24, for_s=3.0)
             engine.limit = None
-            await fleet.play(per_s=24, for_s=2 * NEWS_LAG_S)
+            await fleet.play(per_s=24, for_s=2 * UPDATE_LAG_S)
             assert not any(fleet.upstreams(number)["e0"].limit.in_force for number in range(3))
             assert set(fleet.statuses) == {200}
 
@@ -116,5 +116,5 @@
             await fleet.play(per_s=24, for_s=4.0, routers=2)
             assert fleet.upstreams(2)["e0"].limit.per_s == 1.5
             engine.limit = None
-            await fleet.play(per_s=24, for_s=2 * NEWS_LAG_S, routers=2)
+            await fleet.play(per_s=24, for_s=2 * UPDATE_LAG_S, routers=2)
             assert not fleet.upstreams(2)["e0"].limit.in_force
--- a/railtide/upstreams/stated_limit.py
+++ b/railtide/upstreams/advertised_limit.py
@@ -14,17 +14,24 @@
 
 import msgspec
 
-__all__ = ["LimitNews", "LimitReport", "StatedLimit", "news_of", "note_news", "note_report"]
-
-LEAST_PER_S = 0.05
+__all__ = [
+    "AdvertisedLimit",
+    "LimitReport",
+    "LimitUpdate",
+    "apply_report",
+    "apply_update",
+    "limit_update_for",
+]
+
+MIN_PER_S = 0.05
 """A lower limit counts as this one: without any request nobody would learn that it has ended."""
-NEWS_S = 15.0
+UPDATES_S = 15.0
 """How long a router tells others what its answers say after one that stated a limit or ended it."""
-NEWS_LAG_S = 3.0
+UPDATE_LAG_S = 3.0
 """By how much news may be older than it says when it is read: the time to write and to read it."""
-MOST_PER_S = 1e9
+MAX_PER_S = 1e9
 """A higher limit is none, and no rate in a record."""
-MOST_AGE_S = 60.0
+MAX_AGE_S = 60.0
 """Beyond this a record's figure is no age of news."""
 NO_LIMIT = 0.0
 
@@ -45,7 +52,7 @@
     sent_at: float
 
 
-class LimitNews(msgspec.Struct, frozen=True, array_like=True):
+class LimitUpdate(msgspec.Struct, frozen=True, array_like=True):
     """What one router tells the others of an upstream's limit.
 
     Attributes
@@ -60,31 +67,31 @@
 
     upstream: str
     incarnation: str
-    per_s: Annotated[float, msgspec.Meta(ge=0, le=MOST_PER_S)]
-    age_s: Annotated[float, msgspec.Meta(ge=0, le=MOST_AGE_S)]
+    per_s: Annotated[float, msgspec.Meta(ge=0, le=MAX_PER_S)]
+    age_s: Annotated[float, msgspec.Meta(ge=0, le=MAX_AGE_S)]
 
 
 @dataclass
-class StatedLimit:
+class AdvertisedLimit:
     """The limit of one upstream.
 
     Attributes
     ----------
     per_s : float
         Requests a second, of all routers together; infinite without a limit.
-    told_at : float
+    advertised_at : float
         Trio time of the last answer that stated no more than this, to any router.
     own_per_s, own_at : float
         What the last answer to this router said, and when it came.
-    news_until : float
+    updates_until : float
         Up to when others are told of it.
     """
 
     per_s: float = math.inf
-    told_at: float = -math.inf
+    advertised_at: float = -math.inf
     own_per_s: float = math.inf
     own_at: float = -math.inf
-    news_until: float = -math.inf
+    updates_until: float = -math.inf
 
     @property
     def in_force(self) -> bool:
@@ -92,7 +99,7 @@
         return math.isfinite(self.per_s)
 
 
-def note_report(limit: StatedLimit, report: LimitReport, now: float) -> bool:
+def apply_report(limit: AdvertisedLimit, report: LimitReport, now: float) -> bool:
     """Take what an answer says; return whether the limit changed.
 
     Examples
@@ -105,21 +112,23 @@
     >>> note_report(limit, LimitReport(math.inf, sent_at=1.2), now=1.3), limit.per_s
     (True, inf)
     """
-    per_s = max(LEAST_PER_S, report.per_s) if report.per_s <= MOST_PER_S else math.inf
-    if per_s > limit.per_s and report.sent_at <= limit.told_at:
+    per_s = max(MIN_PER_S, report.per_s) if report.per_s <= MAX_PER_S else math.inf
+    if per_s > limit.per_s and report.sent_at <= limit.advertised_at:
         return False
     changed = per_s != limit.per_s
     limit.per_s = per_s
     if limit.in_force or changed:
-        limit.told_at = now
-        limit.news_until = now + NEWS_S
-    if now < limit.news_until:
+        limit.advertised_at = now
+        limit.updates_until = now + UPDATES_S
+    if now < limit.updates_until:
         limit.own_per_s = per_s
         limit.own_at = now
     return changed
 
 
-def news_of(limit: StatedLimit, upstream: str, incarnation: str, now: float) -> LimitNews | None:
+def limit_update_for(
+    limit: AdvertisedLimit, upstream: str, incarnation: str, now: float
+) -> LimitUpdate | None:
     """Return what other routers are to be told of an upstream's limit, None for nothing.
 
     Examples
@@ -129,13 +138,13 @@
     >>> news_of(limit, "e1", "e1/7", now=3.0)
     LimitNews(upstream='e1', incarnation='e1/7', per_s=1.5, age_s=2.0)
     """
-    if now >= limit.news_until:
+    if now >= limit.updates_until:
         return None
     per_s = limit.own_per_s if math.isfinite(limit.own_per_s) else NO_LIMIT
-    return LimitNews(upstream, incarnation, per_s, round(now - limit.own_at, 2))
+    return LimitUpdate(upstream, incarnation, per_s, round(now - limit.own_at, 2))
 
 
-def note_news(limit: StatedLimit, news: LimitNews, heard_at: float) -> bool:
+def apply_update(limit: AdvertisedLimit, news: LimitUpdate, heard_at: float) -> bool:
     """Take what another router tells, if it is certainly newer; return whether the limit changed.
 
     Examples
@@ -149,11 +158,11 @@
     (True, inf)
     """
     at = heard_at - news.age_s
-    if at - NEWS_LAG_S < limit.told_at:
+    if at - UPDATE_LAG_S < limit.advertised_at:
         return False
-    per_s = max(LEAST_PER_S, news.per_s) if news.per_s else math.inf
+    per_s = max(MIN_PER_S, news.per_s) if news.per_s else math.inf
     changed = per_s != limit.per_s
     limit.per_s = per_s
     if limit.in_force or changed:
-        limit.told_at = at
+        limit.advertised_at = at
     return changed
--- a/railtide/upstreams/load.py
+++ b/railtide/upstreams/load.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 
 from railtide.membership.instances import Instance, InstanceState
-from railtide.upstreams.stated_limit import StatedLimit
+from railtide.upstreams.advertised_limit import AdvertisedLimit
 
 __all__ = [
     "LoadReport",
@@ -89,7 +89,7 @@
     prefix_sent_at: dict[str, float] = field(default_factory=dict)
     cold_until: float = -math.inf
     sent_at: float = -math.inf
-    limit: StatedLimit = field(default_factory=StatedLimit)
+    limit: AdvertisedLimit = field(default_factory=AdvertisedLimit)
     resting_until: float = -math.inf
 
     @property
--- a/railtide/upstreams/notice.py
+++ b/railtide/upstreams/notice.py
@@ -2,8 +2,8 @@
 
 from dataclasses import dataclass
 
+from railtide.upstreams.advertised_limit import LimitReport
 from railtide.upstreams.load import LoadReport
-from railtide.upstreams.stated_limit import LimitReport
 
 __all__ = ["UpstreamNotice"]
 
--- a/railtide/upstreams/tests/test_stated_limit.py
+++ b/railtide/upstreams/tests/test_advertised_limit.py
@@ -1,30 +1,30 @@
-"""Tests of railtide.upstreams.stated_limit: answers that overtake one another."""
+"""Tests of railtide.upstreams.advertised_limit: answers that overtake one another."""
 
 import math
 
 import pytest
 
-from railtide.upstreams.stated_limit import (
-    LEAST_PER_S,
-    MOST_PER_S,
-    NEWS_LAG_S,
-    NEWS_S,
-    LimitNews,
+from railtide.upstreams.advertised_limit import (
+    MAX_PER_S,
+    MIN_PER_S,
+    UPDATE_LAG_S,
+    UPDATES_S,
+    AdvertisedLimit,
     LimitReport,
-    StatedLimit,
-    news_of,
-    note_news,
-    note_report,
+    LimitUpdate,
+    apply_report,
+    apply_update,
+    limit_update_for,
 )
 
 NONE = math.inf
 
 
-def after(*reports: tuple[float, float, float]) -> StatedLimit:
+def after(*reports: tuple[float, float, float]) -> AdvertisedLimit:
     """Return the limit after answers, each with its limit, when it was asked for, and came."""
-    limit = StatedLimit()
+    limit = AdvertisedLimit()
     for per_s, sent_at, now in reports:
-        note_report(limit, LimitReport(per_s, sent_at), now)
+        apply_report(limit, LimitReport(per_s, sent_at), now)
     return limit
 
 
@@ -50,54 +50,58 @@
         stated = [(1.0, 0.0, 3.0), *((NONE, 0.5 * n, 0.5 * n + 3) for n in range(1, 8))]
         assert not after(*stated).in_force
 
-    @pytest.mark.parametrize("per_s", [2 * MOST_PER_S, 1e300])
+    @pytest.mark.parametrize("per_s", [2 * MAX_PER_S, 1e300])
     def test_limit_beyond_any_rate_is_none(self, per_s: float) -> None:
         """Told to other routers it would make this one's record unreadable."""
         assert not after((per_s, 0, 1)).in_force
-        assert news_of(after((per_s, 0, 1)), "e", "e/1", now=1) is None
+        assert limit_update_for(after((per_s, 0, 1)), "e", "e/1", now=1) is None
 
     @pytest.mark.parametrize("per_s", [0.0, 0.001])
     def test_some_requests_are_left_to_hear_of_the_end(self, per_s: float) -> None:
-        assert after((per_s, 0, 1)).per_s == LEAST_PER_S
+        assert after((per_s, 0, 1)).per_s == MIN_PER_S
 
 
 class TestNews:
     def test_news_of_the_end_that_may_be_older_than_the_limit_changes_nothing(self) -> None:
         limit = after((1.5, 0, 10))
-        assert not note_news(limit, LimitNews("e", "e/1", 0.0, age_s=1.0), 11 + NEWS_LAG_S - 0.1)
+        assert not apply_update(
+            limit, LimitUpdate("e", "e/1", 0.0, age_s=1.0), 11 + UPDATE_LAG_S - 0.1
+        )
         assert limit.in_force
 
     def test_news_of_the_end_that_is_newer_ends_it(self) -> None:
         limit = after((1.5, 0, 10))
-        assert note_news(limit, LimitNews("e", "e/1", 0.0, age_s=1.0), 11 + NEWS_LAG_S + 0.1)
+        assert apply_update(limit, LimitUpdate("e", "e/1", 0.0, age_s=1.0), 11 + UPDATE_LAG_S + 0.1)
         assert not limit.in_force
 
     def test_own_answer_of_a_moment_ago_goes_first(self) -> None:
         limit = after((1.5, 0, 1), (NONE, 8, 9))
-        note_news(limit, LimitNews("e", "e/1", 1.5, age_s=0.5), heard_at=11.0)
+        apply_update(limit, LimitUpdate("e", "e/1", 1.5, age_s=0.5), heard_at=11.0)
         assert not limit.in_force
 
     def test_limit_that_others_tell_binds_a_router_that_was_told_nothing(self) -> None:
-        limit = StatedLimit()
-        assert note_news(limit, LimitNews("e", "e/1", 1.5, age_s=0.5), heard_at=11.0)
+        limit = AdvertisedLimit()
+        assert apply_update(limit, LimitUpdate("e", "e/1", 1.5, age_s=0.5), heard_at=11.0)
         assert limit.per_s == 1.5
 
     def test_only_own_answers_are_told_on(self) -> None:
-        limit = StatedLimit()
-        note_news(limit, LimitNews("e", "e/1", 1.5, age_s=0.5), heard_at=11.0)
-        assert news_of(limit, "e", "e/1", now=11.0) is None
+        limit = AdvertisedLimit()
+        apply_update(limit, LimitUpdate("e", "e/1", 1.5, age_s=0.5), heard_at=11.0)
+        assert limit_update_for(limit, "e", "e/1", now=11.0) is None
 
     def test_end_soon_after_the_limit_was_stated_is_believed_in_time(self) -> None:
         """Each later answer without a limit makes the news of the end newer."""
         teller, hearer = after((1.5, 0, 10), (NONE, 10.1, 10.2)), after((1.5, 0, 10))
-        assert not note_news(hearer, news_of(teller, "e", "e/1", 11), 11.5)
-        note_report(teller, LimitReport(NONE, 13.0), now=13.1)
-        assert note_news(hearer, news_of(teller, "e", "e/1", 13.5), 14)
+        assert not apply_update(hearer, limit_update_for(teller, "e", "e/1", 11), 11.5)
+        apply_report(teller, LimitReport(NONE, 13.0), now=13.1)
+        assert apply_update(hearer, limit_update_for(teller, "e", "e/1", 13.5), 14)
 
     def test_end_is_told_for_a_while(self) -> None:
         limit = after((1.5, 0, 1), (NONE, 8, 9), (NONE, 10, 11), (NONE, 30, 31))
-        assert news_of(limit, "e", "e/1", now=8.9 + NEWS_S) == LimitNews("e", "e/1", 0.0, 12.9)
-        assert news_of(limit, "e", "e/1", now=9 + NEWS_S) is None
+        assert limit_update_for(limit, "e", "e/1", now=8.9 + UPDATES_S) == LimitUpdate(
+            "e", "e/1", 0.0, 12.9
+        )
+        assert limit_update_for(limit, "e", "e/1", now=9 + UPDATES_S) is None
 
     def test_upstream_that_never_stated_one_is_no_news(self) -> None:
-        assert news_of(after((NONE, 8, 9)), "e", "e/1", now=9) is None
+        assert limit_update_for(after((NONE, 8, 9)), "e", "e/1", now=9) is None
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -2385,17 +2385,17 @@
     ),
     Mutant(
         "late-answer-ends-a-limit",
-        "upstreams/stated_limit.py",
-        "if per_s > limit.per_s and report.sent_at <= limit.told_at:",
+        "upstreams/advertised_limit.py",
+        "if per_s > limit.per_s and report.sent_at <= limit.advertised_at:",
         "if False:",
-        ("railtide/upstreams/tests/test_stated_limit.py",),
+        ("railtide/upstreams/tests/test_advertised_limit.py",),
     ),
     Mutant(
         "limit-that-overlapping-answers-never-end",
-        "upstreams/stated_limit.py",
+        "upstreams/advertised_limit.py",
         "        return False\n    changed",
-        "        limit.told_at = now\n        return False\n    changed",
-        ("railtide/upstreams/tests/test_stated_limit.py",),
+        "        limit.advertised_at = now\n        return False\n    changed",
+        ("railtide/upstreams/tests/test_advertised_limit.py",),
     ),
     Mutant(
         "limit-that-some-routers-never-see-end",
@@ -2419,17 +2419,17 @@
     ),
     Mutant(
         "news-of-a-limit-that-may-be-older-is-taken",
-        "upstreams/stated_limit.py",
-        "    if at - NEWS_LAG_S < limit.told_at:\n        return False\n",
+        "upstreams/advertised_limit.py",
+        "    if at - UPDATE_LAG_S < limit.advertised_at:\n        return False\n",
         "",
-        ("railtide/upstreams/tests/test_stated_limit.py",),
+        ("railtide/upstreams/tests/test_advertised_limit.py",),
     ),
     Mutant(
         "end-of-a-limit-told-as-of-its-first-answer",
-        "upstreams/stated_limit.py",
-        "    if now < limit.news_until:\n        limit.own",
+        "upstreams/advertised_limit.py",
+        "    if now < limit.updates_until:\n        limit.own",
         "    if limit.in_force or changed:\n        limit.own",
-        ("railtide/upstreams/tests/test_stated_limit.py",),
+        ("railtide/upstreams/tests/test_advertised_limit.py",),
     ),
     Mutant(
         "limits-heard-from-a-backlog",
@@ -2441,7 +2441,7 @@
     Mutant(
         "limits-of-others-not-heard",
         "edge/pools.py",
-        "        roster.on_limits = self.take_limit_news\n",
+        "        roster.on_limits = self.apply_limit_updates\n",
         "",
         (PLATFORM_LIMITS,),
     ),
@@ -2601,10 +2601,10 @@
     ),
     Mutant(
         "limit-beyond-any-rate-is-told-on",
-        "upstreams/stated_limit.py",
-        "max(LEAST_PER_S, report.per_s) if report.per_s <= MOST_PER_S else math.inf",
-        "max(LEAST_PER_S, report.per_s)",
-        ("railtide/upstreams/tests/test_stated_limit.py",),
+        "upstreams/advertised_limit.py",
+        "max(MIN_PER_S, report.per_s) if report.per_s <= MAX_PER_S else math.inf",
+        "max(MIN_PER_S, report.per_s)",
+        ("railtide/upstreams/tests/test_advertised_limit.py",),
     ),
 ]
 
