--- a/bench/lanes.py
+++ b/bench/lanes.py
@@ -14,8 +14,14 @@
 from railtide.lanes.queue import FairLanes, Fifo, Urgency, WaitingQueue
 from railtide.lanes.scheduler import PoolScheduler, WaitingRequest
 from railtide.membership.instances import Instance
-from railtide.upstreams.choice import Affinity, Choice, RandomChoice, RoundRobin, TwoChoices
-from railtide.upstreams.load import LoadReport
+from railtide.upstreams.balancing import (
+    Affinity,
+    BalancingPolicy,
+    RandomChoice,
+    RoundRobin,
+    TwoChoices,
+)
+from railtide.upstreams.upstream_state import LoadReport
 
 ENGINES = 5
 SLOTS = 8
@@ -68,7 +74,7 @@
     return waits
 
 
-async def balance(choice: Choice) -> HdrHistogram:
+async def balance(choice: BalancingPolicy) -> HdrHistogram:
     """Let routers that see late reports share engines of uneven speed; return answer times."""
     rng = Random(5)
     pool = instances(1000)
--- a/railtide/edge/pools.py
+++ b/railtide/edge/pools.py
@@ -13,13 +13,13 @@
 from railtide.membership.roster import Roster
 from railtide.membership.upstream_list import UpstreamList
 from railtide.upstreams.advertised_limit import LimitUpdate
-from railtide.upstreams.choice import PrefixAffinity, TwoChoices
+from railtide.upstreams.balancing import PrefixAffinity, TwoChoices
 from railtide.upstreams.client import UpstreamClient
 from railtide.upstreams.limit_shares import LimitShares
-from railtide.upstreams.load import note_end
+from railtide.upstreams.long_prompt_isolation import LongPromptIsolation
 from railtide.upstreams.notice import UpstreamNotice
-from railtide.upstreams.separation import Separation
 from railtide.upstreams.slow_start import SlowStart, SlowStartShares
+from railtide.upstreams.upstream_state import note_crash
 
 __all__ = ["EdgePools"]
 
@@ -97,7 +97,7 @@
         self._on_listed([after[new] for new in after.keys() - before.keys()])
 
     def _add(self, pool: str) -> None:
-        choice = Separation(PrefixAffinity(TwoChoices(self._rng)))
+        choice = LongPromptIsolation(PrefixAffinity(TwoChoices(self._rng)))
         scheduler = PoolScheduler(choice, urgent_share=0, trusts_list=True)
         scheduler.set_drained(self.drained.names)
         scheduler.set_limit_shares(self._limit_shares)
@@ -155,7 +155,7 @@
         for scheduler in self.schedulers_by_pool.values():
             for upstream in scheduler.by_name.values():
                 if life_digest(upstream.instance.incarnation) == life:
-                    note_end(upstream, trio.current_time())
+                    note_crash(upstream, trio.current_time())
 
 
 def _by_incarnation(scheduler: PoolScheduler) -> dict[str, Instance]:
--- a/railtide/lanes/admission.py
+++ b/railtide/lanes/admission.py
@@ -10,8 +10,8 @@
 
 from railtide.membership.entrance_set import Visits
 from railtide.upstreams.limit_shares import QUIET_S, LimitShares
-from railtide.upstreams.load import Upstream, is_cold, is_leaving
 from railtide.upstreams.slow_start import SlowStart
+from railtide.upstreams.upstream_state import Upstream, is_cold, is_leaving
 
 __all__ = ["Admission", "BlockReason", "ColdPause"]
 
--- a/railtide/lanes/pool_notices.py
+++ b/railtide/lanes/pool_notices.py
@@ -14,7 +14,7 @@
     apply_update,
     limit_update_for,
 )
-from railtide.upstreams.load import Upstream
+from railtide.upstreams.upstream_state import Upstream
 
 __all__ = ["MAX_REST_S", "PoolNotices"]
 
--- a/railtide/lanes/pool_upstreams.py
+++ b/railtide/lanes/pool_upstreams.py
@@ -7,7 +7,7 @@
 from railtide.lanes.admission import Admission, BlockReason
 from railtide.lanes.queue import Urgency
 from railtide.membership.instances import Instance
-from railtide.upstreams.load import REPORT_MAX_AGE_S, Upstream, is_ejected
+from railtide.upstreams.upstream_state import REPORT_MAX_AGE_S, Upstream, is_ejected
 
 __all__ = ["PoolUpstreams", "Preference"]
 
@@ -152,7 +152,7 @@
         preference: Preference, staying: list[Upstream], fresh: list[Upstream], now: float
     ) -> list[Upstream]:
         """Return where a request had best run, by a choice that all routers make alike."""
-        names = [u.instance.name for u in staying if now >= u.ended_until]
+        names = [u.instance.name for u in staying if now >= u.crashed_until]
         wanted = preference(names)
         return [upstream for upstream in fresh if upstream.instance.name in wanted]
 
--- a/railtide/lanes/scheduler.py
+++ b/railtide/lanes/scheduler.py
@@ -15,10 +15,10 @@
 from railtide.lanes.pool_upstreams import PoolUpstreams, Preference
 from railtide.lanes.queue import FairLanes, Urgency, Waiting, WaitingQueue
 from railtide.membership.instances import Instance
-from railtide.upstreams.choice import Affinity, Choice
+from railtide.upstreams.balancing import Affinity, BalancingPolicy
 from railtide.upstreams.limit_shares import LimitShares
-from railtide.upstreams.load import LoadReport, Upstream, keeps_prefix, note_prefix
 from railtide.upstreams.slow_start import SlowStart
+from railtide.upstreams.upstream_state import LoadReport, Upstream, keeps_prefix, note_prefix
 
 __all__ = ["PoolScheduler", "Slot", "WaitingRequest"]
 
@@ -84,7 +84,7 @@
         self.opened_at = opened_at
         self.released = False
         self.begun = False
-        self.reading = 0.0
+        self.prefill_load = 0.0
 
 
 class PoolScheduler:
@@ -92,7 +92,7 @@
 
     Parameters
     ----------
-    choice : Choice
+    choice : BalancingPolicy
     queue : WaitingQueue, optional
         `FairLanes` unless given.
     urgent_share : int
@@ -110,7 +110,7 @@
 
     def __init__(
         self,
-        choice: Choice,
+        choice: BalancingPolicy,
         queue: WaitingQueue | None = None,
         urgent_share: int = URGENT_SHARE,
         most_waiting: int = MOST_WAITING,
@@ -226,8 +226,8 @@
         if not slot.begun:
             slot.begun = True
             self._learn_begin(trio.current_time() - slot.opened_at)
-        slot.upstream.reading -= slot.reading
-        slot.reading = 0.0
+        slot.upstream.prefill_load -= slot.prefill_load
+        slot.prefill_load = 0.0
 
     def _learn_begin(self, took: float) -> None:
         """Follow the median of the times that answers take to begin; timeouts move it little."""
@@ -374,11 +374,11 @@
     @staticmethod
     def _note_reading(slot: Slot, affinity: Affinity, now: float) -> None:
         """Count the reading of a prompt: all of it where its prefix is not kept."""
-        if not affinity.reading:
+        if not affinity.prefill_cost:
             return
         kept = keeps_prefix(slot.upstream, affinity.key, now)
-        slot.reading = affinity.reading + (0.0 if kept else affinity.worth)
-        slot.upstream.reading += slot.reading
+        slot.prefill_load = affinity.prefill_cost + (0.0 if kept else affinity.prefix_cost)
+        slot.upstream.prefill_load += slot.prefill_load
         note_prefix(slot.upstream, affinity.key, now)
 
     @staticmethod
--- a/railtide/lanes/tests/test_admission.py
+++ b/railtide/lanes/tests/test_admission.py
@@ -12,9 +12,9 @@
 from railtide.lanes.scheduler import PoolScheduler, WaitingRequest
 from railtide.membership.instances import Instance, InstanceState
 from railtide.upstreams.advertised_limit import AdvertisedLimit, LimitReport
-from railtide.upstreams.choice import Affinity, TwoChoices
-from railtide.upstreams.load import Upstream
+from railtide.upstreams.balancing import Affinity, TwoChoices
 from railtide.upstreams.slow_start import SlowStart
+from railtide.upstreams.upstream_state import Upstream
 
 NOW = 100.0
 
@@ -33,11 +33,15 @@
     @pytest.mark.parametrize(
         ("fields", "hold", "opens_at"),
         [
-            ({"leaving": True, "rests_until": NOW + 9}, BlockReason.LEAVING, math.inf),
-            ({"rests_until": NOW + 2}, BlockReason.RESTING, NOW + 2),
+            ({"leaving": True, "resting_until": NOW + 9}, BlockReason.LEAVING, math.inf),
+            ({"resting_until": NOW + 2}, BlockReason.RESTING, NOW + 2),
             ({"limit": AdvertisedLimit(0.5)}, BlockReason.LIMITED, NOW + 1.9),
             ({"cold_until": NOW + 9}, BlockReason.COLD, NOW + 0.4),
-            ({"limit": AdvertisedLimit(0.5), "rests_until": NOW + 5}, BlockReason.RESTING, NOW + 5),
+            (
+                {"limit": AdvertisedLimit(0.5), "resting_until": NOW + 5},
+                BlockReason.RESTING,
+                NOW + 5,
+            ),
             (
                 {"limit": AdvertisedLimit(0.5), "cold_until": NOW + 9},
                 BlockReason.LIMITED,
--- a/railtide/lanes/tests/test_scheduler.py
+++ b/railtide/lanes/tests/test_scheduler.py
@@ -9,8 +9,8 @@
 from railtide.lanes.queue import Urgency
 from railtide.lanes.scheduler import PoolScheduler, Slot, WaitingRequest
 from railtide.membership.instances import Instance
-from railtide.upstreams.choice import Affinity, TwoChoices
-from railtide.upstreams.load import LoadReport
+from railtide.upstreams.balancing import Affinity, TwoChoices
+from railtide.upstreams.upstream_state import LoadReport
 
 
 def pool(*names: str, slots: int = 4) -> list[Instance]:
@@ -32,7 +32,7 @@
 
 
 def long_prompt(prefix: str = "p") -> WaitingRequest:
-    affinity = Affinity(prefix, worth=15.0, reading=7.0)
+    affinity = Affinity(prefix, prefix_cost=15.0, prefill_cost=7.0)
     return WaitingRequest("a", Urgency.BULK, 1, 1, trio.current_time() + 60, affinity)
 
 
@@ -42,24 +42,24 @@
     ) -> None:
         scheduler = make("a")
         slot = await scheduler.acquire(long_prompt())
-        assert scheduler.by_name["a"].reading == 22
+        assert scheduler.by_name["a"].prefill_load == 22
         scheduler.note_begun(slot)
         scheduler.note_begun(slot)
-        assert scheduler.by_name["a"].reading == 0
+        assert scheduler.by_name["a"].prefill_load == 0
 
     async def test_kept_prefix_is_not_read_again(self, autojump_clock) -> None:
         scheduler = make("a")
         scheduler.release(await scheduler.acquire(long_prompt()))
-        assert scheduler.by_name["a"].reading == 0
+        assert scheduler.by_name["a"].prefill_load == 0
         await scheduler.acquire(long_prompt())
-        assert scheduler.by_name["a"].reading == 7
+        assert scheduler.by_name["a"].prefill_load == 7
 
     async def test_prefix_is_taken_to_be_gone_after_a_while(self, autojump_clock) -> None:
         scheduler = make("a")
         scheduler.release(await scheduler.acquire(long_prompt()))
         await trio.sleep(11)
         await scheduler.acquire(long_prompt())
-        assert scheduler.by_name["a"].reading == 22
+        assert scheduler.by_name["a"].prefill_load == 22
 
     async def test_next_request_goes_where_no_long_prompt_is_read(self, autojump_clock) -> None:
         scheduler = make("a", "b", slots=8)
--- a/railtide/lanes/tests/test_slow_start.py
+++ b/railtide/lanes/tests/test_slow_start.py
@@ -12,9 +12,9 @@
 from railtide.lanes.queue import Urgency
 from railtide.lanes.scheduler import PoolScheduler, WaitingRequest
 from railtide.membership.instances import Instance
-from railtide.upstreams.choice import Affinity, PrefixAffinity, TwoChoices
-from railtide.upstreams.load import LoadReport
+from railtide.upstreams.balancing import Affinity, PrefixAffinity, TwoChoices
 from railtide.upstreams.slow_start import SlowStart, SlowStartShares
+from railtide.upstreams.upstream_state import LoadReport
 
 BEARS = SlowStart(per_s=7.7, for_s=3.0)
 ALLOWED = 7.7 * 1.5 + 5
--- a/railtide/lanes/tests/test_stated_limits.py
+++ b/railtide/lanes/tests/test_stated_limits.py
@@ -14,7 +14,7 @@
 from railtide.membership.entrance_set import Visits
 from railtide.membership.instances import Instance
 from railtide.upstreams.advertised_limit import UPDATE_LAG_S, LimitReport, LimitUpdate
-from railtide.upstreams.choice import Affinity, PrefixAffinity, TwoChoices
+from railtide.upstreams.balancing import Affinity, PrefixAffinity, TwoChoices
 from railtide.upstreams.limit_shares import QUIET_S, TURN_S, LimitShares, routers_sharing
 
 WINDOW_S = 4.0
--- a/railtide/platform/calls.py
+++ b/railtide/platform/calls.py
@@ -11,7 +11,7 @@
 from railtide.platform import names
 from railtide.requests.call import Call, Prices, Usage, cost_of
 from railtide.requests.errors import InvalidRequest, Unauthorized, UnknownRoute
-from railtide.upstreams.choice import Affinity
+from railtide.upstreams.balancing import Affinity
 
 __all__ = ["call_of"]
 
--- a/railtide/platform/notices.py
+++ b/railtide/platform/notices.py
@@ -8,8 +8,8 @@
 from railtide.http.messages import Headers, first_header
 from railtide.platform import names
 from railtide.upstreams.advertised_limit import LimitReport
-from railtide.upstreams.load import LoadReport
 from railtide.upstreams.notice import UpstreamNotice
+from railtide.upstreams.upstream_state import LoadReport
 
 __all__ = ["notice_of"]
 
--- a/railtide/platform/tests/test_foreign_records.py
+++ b/railtide/platform/tests/test_foreign_records.py
@@ -26,8 +26,8 @@
 from railtide.platform.tests.test_store import client_of
 from railtide.platform.tests.test_whole_path import World, body_of, world
 from railtide.standins.platform import engine_entry
-from railtide.upstreams.load import LoadReport
 from railtide.upstreams.notice import UpstreamNotice
+from railtide.upstreams.upstream_state import LoadReport
 
 GOOD = engine_entry("10.0.0.9:8080")
 BORN_MS = 1_790_000_000_000
--- a/railtide/platform/upstreams.py
+++ b/railtide/platform/upstreams.py
@@ -21,8 +21,8 @@
     UpstreamMoved,
     UpstreamRefused,
 )
-from railtide.upstreams.load import LoadReport
 from railtide.upstreams.notice import UpstreamNotice
+from railtide.upstreams.upstream_state import LoadReport
 
 __all__ = ["PlatformUpstreams"]
 
--- a/railtide/requests/call.py
+++ b/railtide/requests/call.py
@@ -8,7 +8,7 @@
 from railtide.configuration.models import AccountSettings
 from railtide.http.messages import Headers
 from railtide.lanes.queue import Urgency
-from railtide.upstreams.choice import Affinity
+from railtide.upstreams.balancing import Affinity
 
 __all__ = ["AnswerSink", "Call", "Prices", "Usage", "cost_of"]
 
--- a/railtide/requests/execution.py
+++ b/railtide/requests/execution.py
@@ -37,11 +37,11 @@
     UpstreamMoved,
     UpstreamRefused,
 )
-from railtide.upstreams.load import (
+from railtide.upstreams.upstream_state import (
     Upstream,
     estimated_load,
     is_leaving,
-    note_end,
+    note_crash,
     note_failure,
     note_success,
 )
@@ -273,7 +273,7 @@
             upstream.leaving = True
         now = trio.current_time()
         if isinstance(err, UpstreamAbsent):
-            note_end(upstream, now)
+            note_crash(upstream, now)
         if not isinstance(err, UpstreamRefused) or now >= upstream.resting_until:
             note_failure(upstream, now)
         self._services.counters.add(f"attempts_failed_{err.code.replace('-', '_')}")
--- a/railtide/requests/tests/test_recovery.py
+++ b/railtide/requests/tests/test_recovery.py
@@ -12,7 +12,7 @@
 from railtide.requests.options import RequestOptions
 from railtide.requests.recovery import Recovery
 from railtide.telemetry.counters import Counters
-from railtide.upstreams.choice import RoundRobin
+from railtide.upstreams.balancing import RoundRobin
 from railtide.upstreams.client import PastRun, RunState, RunUsage
 from railtide.upstreams.errors import UpstreamLost
 from railtide.wire.messages import OrphanMessage
--- a/railtide/router/requests.py
+++ b/railtide/router/requests.py
@@ -13,7 +13,7 @@
 from railtide.requests.call import Call, Prices
 from railtide.requests.errors import InvalidRequest, KeyRequired, NotAllowed, Unauthorized
 from railtide.router.options import RouterOptions
-from railtide.upstreams.choice import Affinity
+from railtide.upstreams.balancing import Affinity
 
 __all__ = ["CHAT_PATH", "SERVICES_PATH", "HttpRequest", "account_of", "call_of"]
 
--- a/railtide/router/router.py
+++ b/railtide/router/router.py
@@ -30,7 +30,7 @@
 from railtide.router.options import RouterOptions
 from railtide.router.uplink import Uplink
 from railtide.telemetry.counters import Counters
-from railtide.upstreams.choice import PrefixAffinity, TwoChoices
+from railtide.upstreams.balancing import PrefixAffinity, TwoChoices
 from railtide.upstreams.client import UpstreamClient
 from railtide.upstreams.errors import UpstreamError
 from railtide.wire.links import Connect
--- a/railtide/upstreams/advertised_limit.py
+++ b/railtide/upstreams/advertised_limit.py
@@ -104,12 +104,12 @@
 
     Examples
     --------
-    >>> limit = StatedLimit()
-    >>> note_report(limit, LimitReport(1.5, sent_at=0.0), now=1.0)
+    >>> limit = AdvertisedLimit()
+    >>> apply_report(limit, LimitReport(1.5, sent_at=0.0), now=1.0)
     True
-    >>> note_report(limit, LimitReport(math.inf, sent_at=0.5), now=1.1), limit.per_s
+    >>> apply_report(limit, LimitReport(math.inf, sent_at=0.5), now=1.1), limit.per_s
     (False, 1.5)
-    >>> note_report(limit, LimitReport(math.inf, sent_at=1.2), now=1.3), limit.per_s
+    >>> apply_report(limit, LimitReport(math.inf, sent_at=1.2), now=1.3), limit.per_s
     (True, inf)
     """
     per_s = max(MIN_PER_S, report.per_s) if report.per_s <= MAX_PER_S else math.inf
@@ -133,10 +133,10 @@
 
     Examples
     --------
-    >>> limit = StatedLimit()
-    >>> changed = note_report(limit, LimitReport(1.5, sent_at=0.0), now=1.0)
-    >>> news_of(limit, "e1", "e1/7", now=3.0)
-    LimitNews(upstream='e1', incarnation='e1/7', per_s=1.5, age_s=2.0)
+    >>> limit = AdvertisedLimit()
+    >>> changed = apply_report(limit, LimitReport(1.5, sent_at=0.0), now=1.0)
+    >>> limit_update_for(limit, "e1", "e1/7", now=3.0)
+    LimitUpdate(upstream='e1', incarnation='e1/7', per_s=1.5, age_s=2.0)
     """
     if now >= limit.updates_until:
         return None
@@ -149,12 +149,12 @@
 
     Examples
     --------
-    >>> limit = StatedLimit()
-    >>> note_news(limit, LimitNews("e1", "e1", 1.5, age_s=0.5), heard_at=10.0), limit.per_s
+    >>> limit = AdvertisedLimit()
+    >>> apply_update(limit, LimitUpdate("e1", "e1", 1.5, age_s=0.5), heard_at=10.0), limit.per_s
     (True, 1.5)
-    >>> note_news(limit, LimitNews("e1", "e1", 0.0, age_s=0.5), heard_at=12.0), limit.per_s
+    >>> apply_update(limit, LimitUpdate("e1", "e1", 0.0, age_s=0.5), heard_at=12.0), limit.per_s
     (False, 1.5)
-    >>> note_news(limit, LimitNews("e1", "e1", 0.0, age_s=0.5), heard_at=13.5), limit.per_s
+    >>> apply_update(limit, LimitUpdate("e1", "e1", 0.0, age_s=0.5), heard_at=13.5), limit.per_s
     (True, inf)
     """
     at = heard_at - news.age_s
--- a/railtide/upstreams/choice.py
+++ b/railtide/upstreams/balancing.py
@@ -7,11 +7,18 @@
 from random import Random
 
 from railtide.membership.addresses import rendezvous_order
-from railtide.upstreams.load import Upstream, estimated_load
-
-__all__ = ["Affinity", "Choice", "PrefixAffinity", "RandomChoice", "RoundRobin", "TwoChoices"]
-
-AFFINITY_WORTH = 4.0
+from railtide.upstreams.upstream_state import Upstream, estimated_load
+
+__all__ = [
+    "Affinity",
+    "BalancingPolicy",
+    "PrefixAffinity",
+    "RandomChoice",
+    "RoundRobin",
+    "TwoChoices",
+]
+
+DEFAULT_PREFIX_COST = 4.0
 HOMES = 2
 
 
@@ -23,26 +30,26 @@
     ----------
     key : str
         Equal for requests that share a prefix, empty for none.
-    worth : float
+    prefix_cost : float
         Requests by which an upstream with the prefix may be busier than another.
-    reading : float
+    prefill_cost : float
         Requests that the reading of the rest of the prompt counts as, until the answer begins.
-    answering : float
+    decode_cost : float
         Requests that the making of the answer counts as, at its greatest size.
     """
 
     key: str = ""
-    worth: float = AFFINITY_WORTH
-    reading: float = 0.0
-    answering: float = 0.0
+    prefix_cost: float = DEFAULT_PREFIX_COST
+    prefill_cost: float = 0.0
+    decode_cost: float = 0.0
 
     @property
-    def work(self) -> float:
+    def total_cost(self) -> float:
         """What the request asks of an upstream that keeps nothing of its prompt."""
-        return self.worth + self.reading + self.answering
+        return self.prefix_cost + self.prefill_cost + self.decode_cost
 
 
-class Choice(ABC):
+class BalancingPolicy(ABC):
     """A policy of choice among upstreams that have room."""
 
     @abstractmethod
@@ -63,7 +70,7 @@
         return False
 
 
-class RandomChoice(Choice):
+class RandomChoice(BalancingPolicy):
     """Any of them; for comparison."""
 
     def __init__(self, rng: Random) -> None:
@@ -74,7 +81,7 @@
         return self._rng.choice(candidates)
 
 
-class RoundRobin(Choice):
+class RoundRobin(BalancingPolicy):
     """Each in turn; for comparison."""
 
     def __init__(self) -> None:
@@ -85,7 +92,7 @@
         return candidates[next(self._turn) % len(candidates)]
 
 
-class TwoChoices(Choice):
+class TwoChoices(BalancingPolicy):
     """The less loaded of two drawn at random.
 
     References
@@ -106,18 +113,18 @@
         return min(pair, key=lambda upstream: estimated_load(upstream, now))
 
 
-class PrefixAffinity(Choice):
+class PrefixAffinity(BalancingPolicy):
     """An upstream that has the prefix, unless it is clearly busier than another policy's choice.
 
     Parameters
     ----------
-    other : Choice
+    other : BalancingPolicy
     homes : int
         Upstreams that may keep one prefix: the first by rendezvous order, and the next ones
         for what the first has no room for.
     """
 
-    def __init__(self, other: Choice, homes: int = HOMES) -> None:
+    def __init__(self, other: BalancingPolicy, homes: int = HOMES) -> None:
         self._other = other
         self._homes = homes
 
@@ -127,7 +134,7 @@
         if not affinity.key:
             return other
         by_name = {upstream.instance.name: upstream for upstream in candidates}
-        most_load = estimated_load(other, now) + affinity.worth
+        most_load = estimated_load(other, now) + affinity.prefix_cost
         for name in rendezvous_order(affinity.key, list(by_name))[: self._homes]:
             if estimated_load(by_name[name], now) <= most_load:
                 return by_name[name]
--- a/railtide/upstreams/client.py
+++ b/railtide/upstreams/client.py
@@ -10,7 +10,7 @@
 from railtide.containment.ends import ProbeResult
 from railtide.http.messages import Headers
 from railtide.membership.instances import Instance
-from railtide.upstreams.load import LoadReport
+from railtide.upstreams.upstream_state import LoadReport
 
 __all__ = [
     "PastRun",
--- a/railtide/upstreams/http_upstreams.py
+++ b/railtide/upstreams/http_upstreams.py
@@ -9,7 +9,7 @@
 from railtide.membership.instances import Instance
 from railtide.upstreams.client import PastRun, UpstreamAnswer, UpstreamCall, UpstreamClient
 from railtide.upstreams.errors import UpstreamLost, UpstreamRefused
-from railtide.upstreams.load import LoadReport
+from railtide.upstreams.upstream_state import LoadReport
 
 __all__ = ["HttpUpstreams"]
 
--- a/railtide/upstreams/separation.py
+++ b/railtide/upstreams/long_prompt_isolation.py
@@ -12,10 +12,10 @@
 from collections.abc import Sequence
 
 from railtide.membership.addresses import rendezvous_order
-from railtide.upstreams.choice import Affinity, Choice
-from railtide.upstreams.load import Upstream
+from railtide.upstreams.balancing import Affinity, BalancingPolicy
+from railtide.upstreams.upstream_state import Upstream
 
-__all__ = ["Separation", "long_side"]
+__all__ = ["LongPromptIsolation", "long_side"]
 
 LONG_READING = 10.0
 """Requests that the reading of a prompt counts as from which on it is long: 100 ms, about a third
@@ -49,16 +49,16 @@
     return set(rendezvous_order(ORDER_KEY, list(names))[:count])
 
 
-class Separation(Choice):
+class LongPromptIsolation(BalancingPolicy):
     """Sends long prompts to a part of the upstreams as large as their part of the work.
 
     Parameters
     ----------
-    other : Choice
+    other : BalancingPolicy
         Chooses within a part.
     """
 
-    def __init__(self, other: Choice) -> None:
+    def __init__(self, other: BalancingPolicy) -> None:
         self._other = other
         self._long_work = 0.0
         self._short_work = 0.0
@@ -69,7 +69,7 @@
         self._apart_until = -math.inf
 
     def note_stream(self, paused: bool, now: float) -> bool:
-        """Count a stream; see `Choice.note_stream`."""
+        """Count a stream; see `BalancingPolicy.note_stream`."""
         kept = math.exp((self._streams_at - now) / STREAMS_WINDOW_S)
         self._streams_at = now
         self._streams = self._streams * kept + 1
@@ -82,9 +82,9 @@
 
     def choose(self, candidates: Sequence[Upstream], affinity: Affinity, now: float) -> Upstream:
         """Return an upstream of the request's part."""
-        is_long = affinity.worth + affinity.reading >= LONG_READING
+        is_long = affinity.prefix_cost + affinity.prefill_cost >= LONG_READING
         self._note(affinity, is_long, now)
-        if not affinity.reading or len(candidates) < 2 or now >= self._apart_until:
+        if not affinity.prefill_cost or len(candidates) < 2 or now >= self._apart_until:
             return self._other.choose(candidates, affinity, now)
         return self._other.choose(self._part(candidates, is_long), affinity, now)
 
@@ -95,9 +95,9 @@
         self._long_work *= kept
         self._short_work *= kept
         if is_long:
-            self._long_work += affinity.work
+            self._long_work += affinity.total_cost
         else:
-            self._short_work += affinity.work
+            self._short_work += affinity.total_cost
 
     def _part(self, candidates: Sequence[Upstream], is_long: bool) -> list[Upstream]:
         total = self._long_work + self._short_work
--- a/railtide/upstreams/notice.py
+++ b/railtide/upstreams/notice.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from railtide.upstreams.advertised_limit import LimitReport
-from railtide.upstreams.load import LoadReport
+from railtide.upstreams.upstream_state import LoadReport
 
 __all__ = ["UpstreamNotice"]
 
--- a/railtide/upstreams/tests/test_separation.py
+++ b/railtide/upstreams/tests/test_long_prompt_isolation.py
@@ -1,4 +1,4 @@
-"""Tests of railtide.upstreams.separation: what streams suffer beside long prompts."""
+"""Tests of railtide.upstreams.long_prompt_isolation: what streams suffer beside long prompts."""
 
 import heapq
 from dataclasses import dataclass, field
@@ -7,12 +7,12 @@
 import pytest
 
 from railtide.membership.instances import Instance
-from railtide.upstreams.choice import Affinity, Choice, PrefixAffinity, TwoChoices
-from railtide.upstreams.load import Upstream
-from railtide.upstreams.separation import Separation, long_side
+from railtide.upstreams.balancing import Affinity, BalancingPolicy, PrefixAffinity, TwoChoices
+from railtide.upstreams.long_prompt_isolation import LongPromptIsolation, long_side
+from railtide.upstreams.upstream_state import Upstream
 
-LONG = Affinity("subject", worth=16.0, reading=7.0, answering=0.2)
-SHORT = Affinity("chat", worth=0.5, reading=1.6, answering=0.7)
+LONG = Affinity("subject", prefix_cost=16.0, prefill_cost=7.0, decode_cost=0.2)
+SHORT = Affinity("chat", prefix_cost=0.5, prefill_cost=1.6, decode_cost=0.7)
 
 
 def upstreams(count: int) -> list[Upstream]:
@@ -26,7 +26,7 @@
     A stream pauses for too long when two long prompts are read beside it at once.
     """
 
-    choice: Choice
+    choice: BalancingPolicy
     rng: Random
     streams: int = 0
     paused: int = 0
@@ -71,7 +71,7 @@
     def test_few_streams_pause_beside_long_prompts(self, seed: int) -> None:
         mixed = Load(PrefixAffinity(TwoChoices(Random(seed))), Random(seed))
         mixed.play()
-        apart = Load(Separation(PrefixAffinity(TwoChoices(Random(seed)))), Random(seed))
+        apart = Load(LongPromptIsolation(PrefixAffinity(TwoChoices(Random(seed)))), Random(seed))
         apart.play()
         assert mixed.paused > 0.14 * mixed.streams
         assert apart.paused < 0.04 * apart.streams
@@ -80,12 +80,12 @@
 
 class TestSeparation:
     @staticmethod
-    def _chosen(choice: Choice, affinity: Affinity, now: float) -> set[str]:
+    def _chosen(choice: BalancingPolicy, affinity: Affinity, now: float) -> set[str]:
         all_of = upstreams(6)
         return {choice.choose(all_of, affinity, now).instance.name for _ in range(60)}
 
     def test_streams_that_do_not_pause_leave_all_to_everyone(self) -> None:
-        choice = Separation(TwoChoices(Random(1)))
+        choice = LongPromptIsolation(TwoChoices(Random(1)))
         for second in range(20):
             assert not choice.note_stream(False, float(second))
         assert len(self._chosen(choice, LONG, 20.0)) == 6
@@ -93,7 +93,7 @@
     def test_two_routers_choose_the_same_upstreams(self) -> None:
         sides = []
         for seed in (1, 2):
-            choice = Separation(TwoChoices(Random(seed)))
+            choice = LongPromptIsolation(TwoChoices(Random(seed)))
             assert [choice.note_stream(True, 0.0) for _ in range(3)] == [False, True, False]
             for _ in range(10):
                 choice.choose(upstreams(6), SHORT, 3.0)
@@ -103,7 +103,7 @@
         assert sides[0][0].isdisjoint(sides[0][1])
 
     def test_is_tried_without_after_a_while(self) -> None:
-        choice = Separation(TwoChoices(Random(1)))
+        choice = LongPromptIsolation(TwoChoices(Random(1)))
         for second in range(3):
             choice.note_stream(True, float(second))
         assert len(self._chosen(choice, LONG, 100.0)) == 6
--- a/railtide/upstreams/tests/test_load.py
+++ b/railtide/upstreams/tests/test_upstream_state.py
@@ -1,10 +1,10 @@
-"""Tests of railtide.upstreams.load and railtide.upstreams.choice."""
+"""Tests of railtide.upstreams.upstream_state and of railtide.upstreams.balancing."""
 
 from random import Random
 
 from railtide.membership.instances import Instance
-from railtide.upstreams.choice import Affinity, PrefixAffinity, TwoChoices
-from railtide.upstreams.load import (
+from railtide.upstreams.balancing import Affinity, PrefixAffinity, TwoChoices
+from railtide.upstreams.upstream_state import (
     REPORT_MAX_AGE_S,
     LoadReport,
     Upstream,
@@ -41,7 +41,7 @@
         assert made.failures == 0
 
 
-class TestChoice:
+class TestBalancingPolicies:
     def test_two_choices_takes_the_less_loaded(self) -> None:
         idle, busy = upstream("idle"), upstream("busy", open_bulk=9)
         choice = TwoChoices(Random(1))
--- a/railtide/upstreams/load.py
+++ b/railtide/upstreams/upstream_state.py
@@ -14,7 +14,7 @@
     "is_ejected",
     "is_leaving",
     "keeps_prefix",
-    "note_end",
+    "note_crash",
     "note_failure",
     "note_prefix",
     "note_success",
@@ -24,7 +24,7 @@
 EJECT_FIRST_S = 1.0
 EJECT_MOST_S = 30.0
 EJECT_AFTER = 2
-ENDED_KEPT_S = 4.0
+CRASHED_HOLD_S = 4.0
 """How long a life is taken to have ended: the record of a silent upstream goes after 3.6 s. One
 that was taken for ended though it lives is used again then."""
 PREFIX_KEPT_S = 10.0
@@ -59,9 +59,9 @@
         When those were opened, oldest first.
     leaving : bool
         Sticky for this incarnation.
-    ended_until : float
+    crashed_until : float
         Until when this life is taken to have ended; its record goes by then.
-    reading : float
+    prefill_load : float
         Requests that this router's prompts count as whose answers have not begun: an upstream
         that reads long prompts makes all its others wait, and its reports say nothing of that.
     prefix_sent_at : dict of str to float
@@ -84,8 +84,8 @@
     leaving: bool = False
     failures: int = 0
     ejected_until: float = 0.0
-    ended_until: float = 0.0
-    reading: float = 0.0
+    crashed_until: float = 0.0
+    prefill_load: float = 0.0
     prefix_sent_at: dict[str, float] = field(default_factory=dict)
     cold_until: float = -math.inf
     sent_at: float = -math.inf
@@ -105,7 +105,7 @@
 
 def is_ejected(upstream: Upstream, now: float) -> bool:
     """Return whether its failures keep new work away from it for now."""
-    return now < max(upstream.ejected_until, upstream.ended_until)
+    return now < max(upstream.ejected_until, upstream.crashed_until)
 
 
 def is_cold(upstream: Upstream, now: float) -> bool:
@@ -113,14 +113,14 @@
     return now < upstream.cold_until
 
 
-def note_end(upstream: Upstream, now: float) -> None:
+def note_crash(upstream: Upstream, now: float) -> None:
     """Record that this life has ended; it is not used until its record has gone.
 
     Its record stays for seconds. Without this, one request after the other finds out that nobody
     listens and takes a retry for it: of 30 in a row at one router 3 did so, and with it 1
     (`test_address_where_nobody_listens_is_tried_once_while_it_is_listed`).
     """
-    upstream.ended_until = now + ENDED_KEPT_S
+    upstream.crashed_until = now + CRASHED_HOLD_S
 
 
 def estimated_load(upstream: Upstream, now: float) -> float:
@@ -131,9 +131,9 @@
     """
     report = upstream.report
     if report is None or now - report.taken_at > REPORT_MAX_AGE_S:
-        return upstream.open_requests + upstream.reading
+        return upstream.open_requests + upstream.prefill_load
     since = sum(1 for at in upstream.opened_at if at > report.taken_at)
-    return report.running + report.queued + since + upstream.reading
+    return report.running + report.queued + since + upstream.prefill_load
 
 
 def keeps_prefix(upstream: Upstream, key: str, now: float) -> bool:
--- a/tests/matrix/ports.py
+++ b/tests/matrix/ports.py
@@ -28,7 +28,7 @@
     UpstreamClient,
 )
 from railtide.upstreams.errors import UpstreamLost, UpstreamRefused
-from railtide.upstreams.load import LoadReport
+from railtide.upstreams.upstream_state import LoadReport
 from railtide.wire.links import Link
 from railtide.wire.messages import Message
 
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -414,7 +414,7 @@
     Mutant(
         "prompt-read-for-ever",
         "lanes/scheduler.py",
-        "        slot.upstream.reading -= slot.reading\n",
+        "        slot.upstream.prefill_load -= slot.prefill_load\n",
         "",
         ("railtide/lanes/tests",),
     ),
@@ -532,14 +532,14 @@
     ),
     Mutant(
         "long-prompts-beside-streams",
-        "upstreams/separation.py",
+        "upstreams/long_prompt_isolation.py",
         " or now >= self._apart_until",
         " or True",
         ("railtide/upstreams/tests",),
     ),
     Mutant(
         "long-prompts-always-apart",
-        "upstreams/separation.py",
+        "upstreams/long_prompt_isolation.py",
         "if self._paused < max(LEAST_PAUSED, self._streams * PAUSED_SHARE):",
         "if False:",
         ("railtide/upstreams/tests",),
@@ -1094,7 +1094,7 @@
     Mutant(
         "address-where-nobody-listens-is-tried-again",
         "requests/execution.py",
-        "            note_end(upstream, now)\n",
+        "            note_crash(upstream, now)\n",
         "            pass\n",
         (CRASHING,),
     ),
