--- a/railtide/edge/node.py
+++ b/railtide/edge/node.py
@@ -31,11 +31,11 @@
 from railtide.membership.instances import Instance
 from railtide.membership.roster import Member, Roster
 from railtide.membership.upstream_list import RECENT_LOSS_S, RETURN_GRACE_S
+from railtide.requests.answer_cache import AnswerCache
 from railtide.requests.call import AnswerSink, Call
 from railtide.requests.dispatcher import Dispatcher
-from railtide.requests.ledger_cover import ledger_cover_maker
+from railtide.requests.ledger_commit import ledger_commit_maker
 from railtide.requests.passthrough import pass_through_relay
-from railtide.requests.replays import Replays
 from railtide.requests.retry import RetryBudget
 from railtide.requests.services import Services
 from railtide.telemetry.counters import Counters
@@ -184,12 +184,12 @@
             upstreams,
             options.requests,
             self._retries_of,
-            Replays(),
+            AnswerCache(),
             self.counters,
             lambda: self.treasury.reachable,
             None,
             self._start_soon,
-            ledger_cover_maker(self.treasury.count_bill),
+            ledger_commit_maker(self.treasury.count_bill),
             pass_through_relay,
             CrashGuard(self._crashes, self._ends),
         )
--- a/railtide/requests/replays.py
+++ b/railtide/requests/answer_cache.py
@@ -4,12 +4,12 @@
 
 from railtide.requests.messages import Answer
 
-__all__ = ["Replays"]
+__all__ = ["AnswerCache"]
 
 MOST_BYTES = 8 * 1024 * 1024
 
 
-class Replays:
+class AnswerCache:
     """The latest answers by account and key, bounded by their size in bytes."""
 
     def __init__(self, most_bytes: int = MOST_BYTES) -> None:
--- a/railtide/requests/cover.py
+++ b/railtide/requests/commit.py
@@ -32,7 +32,7 @@
 from railtide.requests.services import Services
 from railtide.telemetry.traceparent import traceparent_of
 
-__all__ = ["Cover", "KnownAnswer", "LogCover", "answer_of_verdict", "log_cover"]
+__all__ = ["CommitProtocol", "KnownAnswer", "LogCommit", "answer_of_verdict", "log_commit"]
 
 RETRY_SOON_S = 1.0
 LOG_CHECK_S = 0.5
@@ -65,19 +65,19 @@
     return verdict.answer
 
 
-class Cover(ABC):
+class CommitProtocol(ABC):
     """What makes a request's budget safe before it is sent, and its bill after the answer."""
 
-    bills_delivery = False
+    bills_partial_answers = False
     """Whether a request without a whole answer is billed at once by what its caller was sent."""
 
     @property
     @abstractmethod
-    def open(self) -> bool:
+    def needs_bill(self) -> bool:
         """True if the request needs a bill."""
 
     @abstractmethod
-    async def declare(self) -> None:
+    async def prepare(self) -> None:
         """Return when the request may be sent; raises if it may not."""
 
     @abstractmethod
@@ -85,19 +85,19 @@
         """Cover another try; return False if there is no budget for it."""
 
     @abstractmethod
-    def check_fresh(self) -> None:
+    def check_ownership(self) -> None:
         """Raise `HolderFenced` if another router may have settled the request."""
 
     @abstractmethod
-    async def hold_first_byte(self) -> None:
+    async def wait_before_first_byte(self) -> None:
         """Return when output may begin."""
 
     @abstractmethod
-    async def hold_end(self, bill: Ticket | None) -> None:
+    async def wait_before_end(self, bill: Ticket | None) -> None:
         """Return when the answer may be ended."""
 
     @abstractmethod
-    def waste_of(self, lost_tries: int) -> int:
+    def wasted_units(self, lost_tries: int) -> int:
         """Return the units to count as used by tries whose answers never came."""
 
     @abstractmethod
@@ -105,7 +105,7 @@
         """Write the bill; None where bills are written in sums."""
 
 
-class LogCover(Cover):
+class LogCommit(CommitProtocol):
     """The entries of the log that cover one request.
 
     Parameters
@@ -123,7 +123,7 @@
         self._intent: Ticket | None = None
 
     @property
-    def open(self) -> bool:
+    def needs_bill(self) -> bool:
         """True if a request may be open in the log, so that it needs a bill."""
         if self._intent is None:
             return False
@@ -131,7 +131,7 @@
 
     # -- before the request is sent -----------------------------------------------------------
 
-    async def declare(self) -> None:
+    async def prepare(self) -> None:
         """Write the intent; return when the request may be sent.
 
         Raises
@@ -146,7 +146,7 @@
         if self._call.key and (not self._call.repeatable or self._services.log_reachable()):
             await self._claim()
         else:
-            await self._cover(self._call.reserve)
+            await self._reserve_in_log(self._call.reserve)
 
     async def extend(self, amount: int) -> bool:
         """Reserve and cover another try; return False if there is no budget for it."""
@@ -156,10 +156,10 @@
         )
         if not extended:
             return False
-        await self._cover(amount)
+        await self._reserve_in_log(amount)
         return True
 
-    def check_fresh(self) -> None:
+    def check_ownership(self) -> None:
         """Refuse to send what another router may have settled, after a pause or a long cut.
 
         Once this holder is fenced its durable requests are settled by others. So a durable
@@ -182,7 +182,7 @@
             raise KnownAnswer(answer_of_verdict(verdict))
         self._check(verdict)
 
-    async def _cover(self, amount: int) -> None:
+    async def _reserve_in_log(self, amount: int) -> None:
         """Write the intent or its extension; wait for it only above the exposure."""
         exposed = self._reservation.try_expose(amount)
         if not exposed and not self._services.log_reachable():
@@ -244,21 +244,21 @@
         if not verdict.ok:
             raise ClaimUnavailable(f"the log refused the intent: {verdict.code}")
 
-    def waste_of(self, lost_tries: int) -> int:
-        """Return a whole reserve for each try; see `Cover.waste_of`."""
+    def wasted_units(self, lost_tries: int) -> int:
+        """Return a whole reserve for each try; see `CommitProtocol.wasted_units`."""
         return self._call.reserve * lost_tries
 
     def bill(self, record: Bill) -> Ticket:
-        """Write the bill after the intent; see `Cover.bill`."""
+        """Write the bill after the intent; see `CommitProtocol.bill`."""
         return self._reservation.epoch.writer.submit(record)
 
     # -- before output goes to the caller -----------------------------------------------------
 
-    async def hold_first_byte(self) -> None:
+    async def wait_before_first_byte(self) -> None:
         """Hold output until the intent is durable, as long as the log is reachable."""
         await self._hold(self._intent)
 
-    async def hold_end(self, bill: Ticket) -> None:
+    async def wait_before_end(self, bill: Ticket) -> None:
         """Hold the end of the answer until the bill is durable, as long as the log is reachable.
 
         After a pause the log is out of reach for a moment, while others may have settled the
@@ -284,6 +284,6 @@
             await ticket.wait_at_most(left)
 
 
-def log_cover(call: Call, reservation: Reservation, services: Services) -> Cover:
+def log_commit(call: Call, reservation: Reservation, services: Services) -> CommitProtocol:
     """Return the cover of a request whose intent and bill go to the log one by one."""
-    return LogCover(call, reservation, services)
+    return LogCommit(call, reservation, services)
--- a/railtide/requests/dispatcher.py
+++ b/railtide/requests/dispatcher.py
@@ -8,7 +8,7 @@
 from railtide.lanes.errors import LaneError, NoUpstream
 from railtide.lanes.scheduler import PoolScheduler
 from railtide.requests.call import AnswerSink, Call
-from railtide.requests.cover import KnownAnswer, answer_of_verdict
+from railtide.requests.commit import KnownAnswer, answer_of_verdict
 from railtide.requests.errors import HolderFenced
 from railtide.requests.execution import Execution
 from railtide.requests.messages import Answer, Lookup
@@ -49,7 +49,7 @@
         RailtideError
             Whose `run` says whether the call ran; nothing was written unless `sink.started`.
         """
-        kept = self._services.replays.find(call.account, call.key, call.digest)
+        kept = self._services.answer_cache.find(call.account, call.key, call.digest)
         if call.key and kept:
             await self._replay(call, kept, sink)
             return
--- a/railtide/requests/execution.py
+++ b/railtide/requests/execution.py
@@ -81,7 +81,7 @@
         self._services = services
         self._sink = sink
         self._retries = services.retries_of(call.pool)
-        self._cover = services.make_cover(call, reservation, services)
+        self._commit = services.make_commit(call, reservation, services)
         self._relay = services.make_relay(call, sink, services, self._before_first_byte)
         self._waiting = WaitingRequest(
             call.account,
@@ -119,7 +119,7 @@
             with trio.move_on_at(self._call.deadline) as scope:
                 self._waiting.preference = self._services.guard.preference_of(self._call.content)
                 self._slot = await self._scheduler.acquire(self._waiting)
-                await self._cover.declare()
+                await self._commit.prepare()
                 await self._answer(await self._run_at_upstreams())
             if scope.cancelled_caught:
                 raise self._late()
@@ -133,12 +133,12 @@
 
     async def _answer(self, relayed: Relayed) -> None:
         """Bill the answer and send the caller what it has not been sent."""
-        wasted = self._cover.waste_of(len(self._lost_tries))
+        wasted = self._commit.wasted_units(len(self._lost_tries))
         self._settle(relayed.cost, Outcome.DONE, relayed.answer, wasted)
         if self._bill:
             self._bill.when_decided(self._on_bill_decided)
         try:
-            await self._cover.hold_end(self._bill)
+            await self._commit.wait_before_end(self._bill)
         except HolderFenced as err:
             raise UpstreamLost(err.detail) from err
         self._keep(relayed.answer)
@@ -152,7 +152,7 @@
 
     async def _before_first_byte(self) -> None:
         self._scheduler.note_begun(self._slot)
-        await self._cover.hold_first_byte()
+        await self._commit.wait_before_first_byte()
 
     # -- tries --------------------------------------------------------------------------------
 
@@ -209,7 +209,7 @@
     async def _try(self, upstream: Instance) -> Relayed:
         with _tracer.start_as_current_span("upstream.call") as span:
             span.set_attribute("railtide.upstream", upstream.name)
-            self._cover.check_fresh()
+            self._commit.check_ownership()
             await self._services.guard.check(self._call.content)
             self._sent_to = upstream
             self._sent_at = trio.current_time()
@@ -307,7 +307,7 @@
             self._services.counters.add("retries_denied")
             self._log_end_of_tries("retry-budget")
             raise err
-        if not refused and not await self._cover.extend(self._call.reserve):
+        if not refused and not await self._commit.extend(self._call.reserve):
             self._log_end_of_tries("account-budget")
             raise err
 
@@ -338,7 +338,7 @@
         self._reservation.settle(cost + wasted)
         kept = answer if answer and self._goes_with_bill(answer) else None
         record = Bill(self._call.request_id, cost, outcome, kept, wasted)
-        self._bill = self._cover.bill(record)
+        self._bill = self._commit.bill(record)
 
     def _goes_with_bill(self, answer: Answer) -> bool:
         most_bytes = self._call.settings.keep_answer_bytes
@@ -347,7 +347,7 @@
     def _keep(self, answer: Answer) -> None:
         call = self._call
         if call.key:
-            self._services.replays.keep(call.account, call.key, call.digest, answer)
+            self._services.answer_cache.keep(call.account, call.key, call.digest, answer)
 
     def _on_bill_decided(self, verdict: Verdict) -> None:
         """Count as waste what ran after another router had settled the request as not run."""
@@ -361,9 +361,9 @@
         """Let the slot go, and see to the bill of a request without an answer."""
         if self._slot:
             self._scheduler.release(self._slot)
-        if not self._cover.open or self._settled:
+        if not self._commit.needs_bill or self._settled:
             self._reservation.settle(0)
-        elif self._cover.bills_delivery:
+        elif self._commit.bills_partial_answers:
             outcome = Outcome.UNKNOWN if self._may_have_run else Outcome.NOT_RUN
             self._settle(self._relay.delivered_cost(), outcome)
         elif not self._may_have_run:
--- a/railtide/requests/ledger_cover.py
+++ b/railtide/requests/ledger_commit.py
@@ -5,21 +5,21 @@
 from railtide.budgets.source import Reserved
 from railtide.journal.writer import Ticket
 from railtide.requests.call import Call
-from railtide.requests.cover import Cover
+from railtide.requests.commit import CommitProtocol
 from railtide.requests.messages import Bill
 from railtide.requests.services import Services
 
-__all__ = ["LedgerCover", "ledger_cover_maker"]
+__all__ = ["LedgerCommit", "ledger_commit_maker"]
 
 
-class LedgerCover(Cover):
+class LedgerCommit(CommitProtocol):
     """Needs nothing before a request is sent: its reserve was granted to this process for good.
 
     A request has its own id and comes over one connection, so that no other router can run it;
     its bill goes to the ledger in a sum, after the answer.
     """
 
-    bills_delivery = True
+    bills_partial_answers = True
 
     def __init__(self, call: Call, count_bill: Callable[[str], None]) -> None:
         self._call = call
@@ -27,28 +27,28 @@
         self._declared = False
 
     @property
-    def open(self) -> bool:
-        """True once the request may be sent; see `Cover.open`."""
+    def needs_bill(self) -> bool:
+        """True once the request may be sent; see `CommitProtocol.needs_bill`."""
         return self._declared
 
-    async def declare(self) -> None:
-        """Return at once; see `Cover.declare`."""
+    async def prepare(self) -> None:
+        """Return at once; see `CommitProtocol.prepare`."""
         self._declared = True
 
     async def extend(self, amount: int) -> bool:
         """Return True: input is counted once for a request, and output as it is delivered."""
         return True
 
-    def check_fresh(self) -> None:
+    def check_ownership(self) -> None:
         """Do nothing: nobody else settles this request."""
 
-    async def hold_first_byte(self) -> None:
+    async def wait_before_first_byte(self) -> None:
         """Return at once."""
 
-    async def hold_end(self, bill: Ticket | None) -> None:
+    async def wait_before_end(self, bill: Ticket | None) -> None:
         """Return at once."""
 
-    def waste_of(self, lost_tries: int) -> int:
+    def wasted_units(self, lost_tries: int) -> int:
         """Return 0; see `extend`."""
         return 0
 
@@ -57,10 +57,10 @@
         self._count_bill(self._call.account)
 
 
-def ledger_cover_maker(count_bill: Callable[[str], None]) -> Callable[..., Cover]:
+def ledger_commit_maker(count_bill: Callable[[str], None]) -> Callable[..., CommitProtocol]:
     """Return a maker of covers that count their bills with `count_bill`."""
 
-    def make(call: Call, reservation: Reserved, services: Services) -> Cover:
-        return LedgerCover(call, count_bill)
+    def make(call: Call, reservation: Reserved, services: Services) -> CommitProtocol:
+        return LedgerCommit(call, count_bill)
 
     return make
--- a/railtide/requests/passthrough.py
+++ b/railtide/requests/passthrough.py
@@ -10,7 +10,7 @@
 from railtide.http.messages import Headers
 from railtide.membership.instances import Instance
 from railtide.requests.call import AnswerSink, Call, Usage, cost_of
-from railtide.requests.events import EventStream
+from railtide.requests.event_stream import EventStream
 from railtide.requests.messages import Answer
 from railtide.requests.relay import Relay, Relayed, closing, read_answer
 from railtide.requests.services import Services
--- a/railtide/requests/services.py
+++ b/railtide/requests/services.py
@@ -7,14 +7,14 @@
 from railtide.budgets.treasury import Reservation
 from railtide.configuration.models import AccountSettings
 from railtide.containment.guard import ContentGuard, NoGuard
+from railtide.requests.answer_cache import AnswerCache
 from railtide.requests.options import RequestOptions
-from railtide.requests.replays import Replays
 from railtide.requests.retry import RetryBudget
 from railtide.telemetry.counters import Counters
 from railtide.upstreams.client import UpstreamClient
 
 if TYPE_CHECKING:
-    from railtide.requests.cover import Cover
+    from railtide.requests.commit import CommitProtocol
     from railtide.requests.relay import Relay
 
 __all__ = ["Services"]
@@ -34,7 +34,7 @@
         Adds to a reservation; see `Treasury.extend`.
     start_soon : callable
         Runs an async function without arguments in the background.
-    make_cover, make_relay : callable
+    make_commit, make_relay : callable
         The parts in which ways to the budget and kinds of upstreams differ.
     guard : ContentGuard
         Keeps contents that end upstreams away from them.
@@ -43,11 +43,11 @@
     upstreams: UpstreamClient
     options: RequestOptions
     retries_of: Callable[[str], RetryBudget]
-    replays: Replays
+    answer_cache: AnswerCache
     counters: Counters
     log_reachable: Callable[[], bool]
     extend: Callable[[Reservation, AccountSettings, int, float], Awaitable[bool]]
     start_soon: Callable[[Callable[[], Awaitable[None]]], None]
-    make_cover: Callable[..., "Cover"]
+    make_commit: Callable[..., "CommitProtocol"]
     make_relay: Callable[..., "Relay"]
     guard: ContentGuard = field(default_factory=NoGuard)
--- a/railtide/requests/tests/test_cover.py
+++ b/railtide/requests/tests/test_commit.py
@@ -1,4 +1,4 @@
-"""Tests of railtide.requests.cover."""
+"""Tests of railtide.requests.commit."""
 
 import pytest
 import trio
@@ -9,8 +9,9 @@
 from railtide.journal.writer import Writer
 from railtide.lanes.queue import Urgency
 from railtide.membership.messages import Heartbeat
+from railtide.requests.answer_cache import AnswerCache
 from railtide.requests.call import Call, Prices
-from railtide.requests.cover import KnownAnswer, LogCover, answer_of_verdict
+from railtide.requests.commit import KnownAnswer, LogCommit, answer_of_verdict
 from railtide.requests.errors import (
     AnswerGone,
     HolderFenced,
@@ -20,7 +21,6 @@
 )
 from railtide.requests.messages import Answer, Outcome
 from railtide.requests.options import RequestOptions
-from railtide.requests.replays import Replays
 from railtide.requests.retry import RetryBudget
 from railtide.requests.services import Services
 from railtide.telemetry.counters import Counters
@@ -60,7 +60,7 @@
             None,
             OPTIONS,
             lambda pool: RetryBudget(),
-            Replays(),
+            AnswerCache(),
             Counters(),
             lambda: self.reachable,
             None,
@@ -68,7 +68,7 @@
             None,
             None,
         )
-        self.cover = LogCover(call_with(key), Reservation(epoch, "a", 10), services)
+        self.commit = LogCommit(call_with(key), Reservation(epoch, "a", 10), services)
 
     def decide(self, code: str = Code.OK, **more: object) -> None:
         seq = self.writer.pending()[0].seq
@@ -78,13 +78,13 @@
 class TestDeclare:
     async def test_request_without_key_goes_before_its_intent(self, autojump_clock) -> None:
         case = Case()
-        await case.cover.declare()
+        await case.commit.prepare()
         assert len(case.writer.pending()) == 1
 
     async def test_above_the_exposure_it_waits_for_its_intent(self, autojump_clock) -> None:
         case = Case(exposure=0)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(case.cover.declare)
+            nursery.start_soon(case.commit.prepare)
             await trio.sleep(0.5)
             assert len(nursery.child_tasks) == 1
             case.decide()
@@ -94,7 +94,7 @@
         answer = Answer(200, "", b"x")
         with pytest.raises(KnownAnswer) as known:
             async with trio.open_nursery(strict_exception_groups=False) as nursery:
-                nursery.start_soon(case.cover.declare)
+                nursery.start_soon(case.commit.prepare)
                 await trio.sleep(0.5)
                 case.decide(Code.KEY_USED, outcome=Outcome.DONE, answer=answer)
         assert known.value.answer == answer
@@ -104,43 +104,43 @@
         case.writer.submit(Heartbeat())
         case.decide(fenced=True)
         with pytest.raises(HolderFenced):
-            await case.cover.declare()
+            await case.commit.prepare()
 
 
 class TestCheckFresh:
     async def test_old_proof_of_a_durable_request_is_not_trusted(self, autojump_clock) -> None:
         case = Case()
-        await case.cover.declare()
+        await case.commit.prepare()
         case.decide()
-        case.cover.check_fresh()
+        case.commit.check_ownership()
         await trio.sleep(OPTIONS.dispatch_window_s + 1)
         with pytest.raises(HolderFenced):
-            case.cover.check_fresh()
+            case.commit.check_ownership()
 
     async def test_new_proof_is(self, autojump_clock) -> None:
         case = Case()
-        await case.cover.declare()
+        await case.commit.prepare()
         case.decide()
         await trio.sleep(OPTIONS.dispatch_window_s + 1)
         case.writer.submit(Heartbeat())
         case.decide()
-        case.cover.check_fresh()
+        case.commit.check_ownership()
 
 
 class TestHold:
     async def test_first_byte_waits_for_the_intent_within_bounds(self, autojump_clock) -> None:
         case = Case()
-        await case.cover.declare()
+        await case.commit.prepare()
         began = trio.current_time()
-        await case.cover.hold_first_byte()
+        await case.commit.wait_before_first_byte()
         assert trio.current_time() - began == pytest.approx(OPTIONS.commit_wait_s, abs=0.1)
 
     async def test_nothing_is_held_while_the_log_is_down(self, autojump_clock) -> None:
         case = Case()
-        await case.cover.declare()
+        await case.commit.prepare()
         case.reachable = False
         began = trio.current_time()
-        await case.cover.hold_first_byte()
+        await case.commit.wait_before_first_byte()
         assert trio.current_time() == began
 
 
--- a/railtide/requests/tests/test_events.py
+++ b/railtide/requests/tests/test_event_stream.py
@@ -1,10 +1,10 @@
-"""Tests of railtide.requests.events."""
+"""Tests of railtide.requests.event_stream."""
 
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
 
-from railtide.requests.events import EventStream
+from railtide.requests.event_stream import EventStream
 from railtide.upstreams.errors import UpstreamLost
 
 
--- a/railtide/router/router.py
+++ b/railtide/router/router.py
@@ -18,12 +18,12 @@
 from railtide.membership.identity import Identity, Role
 from railtide.membership.instances import Instance, InstanceState
 from railtide.membership.messages import Close, Heartbeat, Leaving, Open
+from railtide.requests.answer_cache import AnswerCache
 from railtide.requests.call import AnswerSink, Call, Prices
-from railtide.requests.cover import log_cover
+from railtide.requests.commit import log_commit
 from railtide.requests.dispatcher import Dispatcher
 from railtide.requests.recovery import Recovery
 from railtide.requests.relay import engine_relay
-from railtide.requests.replays import Replays
 from railtide.requests.retry import RetryBudget
 from railtide.requests.services import Services
 from railtide.router.errors import BacklogFull, Draining, NotReady
@@ -93,12 +93,12 @@
             upstreams,
             options.requests,
             lambda pool: self._retries,
-            Replays(),
+            AnswerCache(),
             self.counters,
             self._log_reachable,
             self.treasury.extend,
             self._start_soon,
-            log_cover,
+            log_commit,
             engine_relay,
         )
         self._dispatcher = Dispatcher(self.treasury, self.schedulers_by_pool.get, self._services)
--- a/railtide/upstreams/upstream_state.py
+++ b/railtide/upstreams/upstream_state.py
@@ -70,7 +70,7 @@
         Until when it bears only a few requests a second.
     sent_at : float
         When this router last sent it a request.
-    limit : StatedLimit
+    limit : AdvertisedLimit
         What it says that it takes.
     resting_until : float
         Until when it wants nothing from this router.
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -153,7 +153,7 @@
     ),
     Mutant(
         "proof-trusted-after-pause",
-        "requests/cover.py",
+        "requests/commit.py",
         "return self._intent.durable and age",
         "return False and age",
         ("railtide/requests/tests",),
@@ -203,7 +203,7 @@
     Mutant(
         "lost-try-not-counted",
         "requests/execution.py",
-        "wasted = self._cover.waste_of(len(self._lost_tries))",
+        "wasted = self._commit.wasted_units(len(self._lost_tries))",
         "wasted = 0",
         (SINGLE,),
     ),
@@ -237,7 +237,7 @@
     ),
     Mutant(
         "settled-elsewhere-answered",
-        "requests/cover.py",
+        "requests/commit.py",
         "if verdict and verdict.code == Code.NOT_OPEN",
         "if False and verdict.code == Code.NOT_OPEN",
         (SINGLE,),
@@ -251,7 +251,7 @@
     ),
     Mutant(
         "claim-without-a-log",
-        "requests/cover.py",
+        "requests/commit.py",
         "        if not self._services.log_reachable():\n            raise ClaimUnavailable(",
         "        if False:\n            raise ClaimUnavailable(",
         (SINGLE,),
@@ -672,21 +672,21 @@
     ),
     Mutant(
         "run-without-an-event-taken-for-whole",
-        "requests/events.py",
+        "requests/event_stream.py",
         '        self._rest = b""\n        self.at_event_end = False',
         '        self._rest = b""\n        self.at_event_end = True',
         (ENDS,),
     ),
     Mutant(
         "runs-joined-over-a-missing-event",
-        "requests/events.py",
+        "requests/event_stream.py",
         "if self._joins and self._counts_up and not follows:",
         "if False:",
         ("railtide/requests/tests", ENDS),
     ),
     Mutant(
         "ids-held-to-count-up-within-a-run",
-        "requests/events.py",
+        "requests/event_stream.py",
         "if self._joins and self._counts_up and not follows:",
         "if not follows:",
         ("railtide/requests/tests",),
