--- a/bench/lanes.py
+++ b/bench/lanes.py
@@ -46,7 +46,7 @@
 async def saturate(queue: WaitingQueue, urgent_share: int) -> dict[Urgency, HdrHistogram]:
     """Keep bulk always waiting, send urgent requests beside it; return the waits."""
     rng = Random(3)
-    scheduler = PoolScheduler(TwoChoices(rng), queue, urgent_share, most_waiting=10_000)
+    scheduler = PoolScheduler(TwoChoices(rng), queue, urgent_share, max_waiting=10_000)
     scheduler.set_upstreams(instances(SLOTS))
     waits = {urgency: histogram() for urgency in Urgency}
 
--- a/railtide/containment/guard.py
+++ b/railtide/containment/guard.py
@@ -13,11 +13,11 @@
 from railtide.containment.registry import CrashRegistry
 from railtide.membership.instances import Instance
 from railtide.upstreams.errors import (
-    UpstreamAbsent,
-    UpstreamBroken,
+    UpstreamDisconnected,
     UpstreamError,
     UpstreamFailed,
     UpstreamMoved,
+    UpstreamNotListening,
 )
 
 __all__ = ["ContentGuard", "CrashGuard", "NoGuard", "Preference"]
@@ -168,13 +168,13 @@
 
     async def note_failure(self, instance: Instance, run: UpstreamRun, err: UpstreamError) -> None:
         """Take a try that failed; see `ContentGuard.note_failure`."""
-        if isinstance(err, UpstreamAbsent):
+        if isinstance(err, UpstreamNotListening):
             self._watch.note_ended(instance, EndSign.REFUSED)
         elif isinstance(err, UpstreamMoved):
             self._watch.note_ended(instance, EndSign.MOVED)
         elif isinstance(err, UpstreamFailed):
             self._watch.note_alive(instance, run.sent_at)
-        elif isinstance(err, UpstreamBroken):
+        elif isinstance(err, UpstreamDisconnected):
             self._watch.note_broken(instance, run)
             await self._watch.settled(instance)
 
--- a/railtide/edge/node.py
+++ b/railtide/edge/node.py
@@ -430,7 +430,7 @@
         if budget is None:
             budget = RetryBudget(self.options.retry_share, saved, saved)
             self._retries_by_pool[pool] = budget
-        budget.most = saved
+        budget.capacity = saved
         return budget
 
     def _start_soon(self, work: Callable[..., Awaitable[None]], *arguments: object) -> None:
--- a/railtide/edge/pools.py
+++ b/railtide/edge/pools.py
@@ -107,8 +107,8 @@
     def _set_slow_start(self, pool: str) -> None:
         slow_start = self._slow_start_by_pool.get(pool)
         if slow_start:
-            pause_s = self._slow_start_shares.pause_s
-            self.schedulers_by_pool[pool].set_slow_start(slow_start, pause_s)
+            interval_s = self._slow_start_shares.interval_s
+            self.schedulers_by_pool[pool].set_slow_start(slow_start, interval_s)
 
     def _set_drained(self, domains: frozenset[str], ended: frozenset[str]) -> None:
         for scheduler in self.schedulers_by_pool.values():
--- a/railtide/journal/fold.py
+++ b/railtide/journal/fold.py
@@ -16,12 +16,12 @@
     KeyState,
     correct,
     correctable,
-    drop,
+    discard,
     expire_keys,
     expire_settled,
     find_key,
     finish,
-    is_beaten,
+    is_key_taken,
     remember_settled,
     start,
 )
@@ -256,10 +256,10 @@
         return _on_late_bill(state, entry, holder, record)
     balance = state.by_account[request.account]
     code = Code.OK
-    if is_beaten(state.registry, record, request):
+    if is_key_taken(state.registry, record, request):
         used = record.cost + record.wasted
         budgets.settle(balance, request.holder, request.reserve, 0, used)
-        drop(state.registry, record.request_id)
+        discard(state.registry, record.request_id)
         code = Code.WASTED
     else:
         budgets.settle(balance, request.holder, request.reserve, record.cost, record.wasted)
--- a/railtide/lanes/admission.py
+++ b/railtide/lanes/admission.py
@@ -9,15 +9,15 @@
 from enum import StrEnum
 
 from railtide.membership.entrance_set import Visits
-from railtide.upstreams.limit_shares import QUIET_S, LimitShares
+from railtide.upstreams.limit_shares import PROBE_AFTER_S, LimitShares
 from railtide.upstreams.slow_start import SlowStart
 from railtide.upstreams.upstream_state import Upstream, is_cold, is_leaving
 
-__all__ = ["Admission", "BlockReason", "ColdPause"]
+__all__ = ["Admission", "BlockReason", "ColdInterval"]
 
 ALONE = ""
 """Name of a router that knows of no others."""
-ColdPause = Callable[[str, float], float]
+ColdInterval = Callable[[str, float], float]
 """Returns the seconds between two requests of this router to a cold upstream, by its name and the
 requests a second that it bears; infinite where the router is to send it none."""
 
@@ -42,13 +42,13 @@
     def __init__(self) -> None:
         self._drained: frozenset[str] = frozenset()
         self._slow_start = SlowStart()
-        self._cold_pause_s: ColdPause = _every_router_alone
+        self._cold_interval_s: ColdInterval = _every_router_alone
         self._limit_shares = LimitShares(ALONE, lambda: Visits((ALONE,)))
 
-    def set_slow_start(self, slow_start: SlowStart, cold_pause_s: ColdPause) -> None:
+    def set_slow_start(self, slow_start: SlowStart, cold_interval_s: ColdInterval) -> None:
         """Take what cold upstreams bear, and this router's part of it."""
         self._slow_start = slow_start
-        self._cold_pause_s = cold_pause_s
+        self._cold_interval_s = cold_interval_s
 
     def set_limit_shares(self, shares: LimitShares) -> None:
         """Take this router's part of what upstreams with a limit are sent."""
@@ -74,10 +74,10 @@
             return math.inf
         if upstream.limit.per_s == math.inf and not self._is_slow(upstream, now):
             return upstream.resting_until
-        pause_s = self.pause_s(upstream, now)
-        if math.isinf(pause_s):
+        interval_s = self.interval_s(upstream, now)
+        if math.isinf(interval_s):
             return math.inf
-        return max(upstream.resting_until, upstream.sent_at + pause_s)
+        return max(upstream.resting_until, upstream.sent_at + interval_s)
 
     def block_reason(self, upstream: Upstream, now: float) -> BlockReason | None:
         """Return what keeps this router's requests from an upstream now."""
@@ -101,28 +101,28 @@
             return opens_at
         return min(opens_at, max(upstream.resting_until, upstream.cold_until))
 
-    def pause_s(self, upstream: Upstream, now: float) -> float:
+    def interval_s(self, upstream: Upstream, now: float) -> float:
         """Return the least time between two requests of this router to a paced upstream.
 
         Infinite where others send them.
         """
         cold_s = limit_s = 0.0
         if self._is_slow(upstream, now):
-            cold_s = self._cold_pause_s(upstream.instance.name, self._slow_start.per_s)
+            cold_s = self._cold_interval_s(upstream.instance.name, self._slow_start.per_s)
         if upstream.limit.in_force:
-            limit_s = self._limit_pause_s(upstream, now)
+            limit_s = self._limit_interval_s(upstream, now)
         return max(cold_s, limit_s)
 
     def _is_slow(self, upstream: Upstream, now: float) -> bool:
         return is_cold(upstream, now) and self._slow_start.per_s > 0
 
-    def _limit_pause_s(self, upstream: Upstream, now: float) -> float:
+    def _limit_interval_s(self, upstream: Upstream, now: float) -> float:
         name, per_s = upstream.instance.name, upstream.limit.per_s
-        pause = self._limit_shares.pause_s(name, per_s)
+        pause = self._limit_shares.interval_s(name, per_s)
         if math.isfinite(pause):
             return pause
         quiet_s = now - max(upstream.limit.advertised_at, upstream.sent_at)
-        if quiet_s < QUIET_S:
+        if quiet_s < PROBE_AFTER_S:
             return math.inf
-        patience = self._limit_shares.patience_s(name, per_s)
-        return patience if quiet_s >= patience else math.inf
+        probe_after = self._limit_shares.probe_after_s(name, per_s)
+        return probe_after if quiet_s >= probe_after else math.inf
--- a/railtide/lanes/pool_upstreams.py
+++ b/railtide/lanes/pool_upstreams.py
@@ -192,7 +192,7 @@
             if now < upstream.resting_until:
                 continue
             if self.admission.is_paced(upstream, now):
-                served += 1 / self.admission.pause_s(upstream, now)
+                served += 1 / self.admission.interval_s(upstream, now)
             else:
                 served += self.capacity(upstream, urgency) / service_s if service_s else math.inf
         return served
--- a/railtide/lanes/scheduler.py
+++ b/railtide/lanes/scheduler.py
@@ -9,7 +9,7 @@
 import trio
 from loguru import logger
 
-from railtide.lanes.admission import ColdPause
+from railtide.lanes.admission import ColdInterval
 from railtide.lanes.errors import DeadlineTooNear, LaneError, NoUpstream, QueueFull
 from railtide.lanes.pool_notices import PoolNotices
 from railtide.lanes.pool_upstreams import PoolUpstreams, Preference
@@ -23,7 +23,7 @@
 __all__ = ["PoolScheduler", "Slot", "WaitingRequest"]
 
 URGENT_SHARE = 4
-MOST_WAITING = 512
+MAX_WAITING = 512
 SERVICE_WEIGHT = 0.1
 BEGIN_STEP = 1.05
 """Factor by which the usual time to an answer's beginning follows each answer."""
@@ -97,7 +97,7 @@
         `FairLanes` unless given.
     urgent_share : int
         One slot in so many is kept for urgent requests; 0 keeps none.
-    most_waiting : int
+    max_waiting : int
         Most requests waiting in a lane.
     trusts_list : bool
         Whether a list that lacks many reporting upstreams is believed all the same.
@@ -113,14 +113,14 @@
         choice: BalancingPolicy,
         queue: WaitingQueue | None = None,
         urgent_share: int = URGENT_SHARE,
-        most_waiting: int = MOST_WAITING,
+        max_waiting: int = MAX_WAITING,
         trusts_list: bool = False,
     ) -> None:
         self._upstreams = PoolUpstreams(urgent_share, trusts_list)
         self.notices = PoolNotices(self._upstreams, self._note_capacity)
         self._choice = choice
         self._queue = queue or FairLanes()
-        self._most_waiting = most_waiting
+        self._max_waiting = max_waiting
         self._waiting: set[WaitingRequest] = set()
         self._service_s = 0.0
         self._begin_s = 0.0
@@ -142,9 +142,9 @@
         self._upstreams.set_drained(domains, trio.current_time())
         self._note_capacity()
 
-    def set_slow_start(self, slow_start: SlowStart, cold_pause_s: ColdPause) -> None:
+    def set_slow_start(self, slow_start: SlowStart, cold_interval_s: ColdInterval) -> None:
         """Take what cold upstreams bear; see `Admission.set_slow_start`."""
-        self._upstreams.admission.set_slow_start(slow_start, cold_pause_s)
+        self._upstreams.admission.set_slow_start(slow_start, cold_interval_s)
 
     def set_limit_shares(self, shares: LimitShares) -> None:
         """Take this router's part of what upstreams with a limit are sent."""
@@ -281,7 +281,7 @@
     def _check(self, request: WaitingRequest, now: float) -> None:
         if not self._upstreams.any_stays(now):
             raise self._no_upstream(request.urgency)
-        if self._queue.size(request.urgency) >= self._most_waiting:
+        if self._queue.size(request.urgency) >= self._max_waiting:
             retry_after = self.retry_after(request.urgency)
             raise QueueFull("the lane is full", retry_after=retry_after)
         if now + self.expected_wait(request.urgency) > request.until:
--- a/railtide/lanes/tests/test_scheduler.py
+++ b/railtide/lanes/tests/test_scheduler.py
@@ -17,8 +17,8 @@
     return [Instance(n, "1", f"{n}:1", n[0], "engine", "p", slots) for n in names]
 
 
-def make(*names: str, slots: int = 4, most_waiting: int = 100) -> PoolScheduler:
-    scheduler = PoolScheduler(TwoChoices(Random(1)), most_waiting=most_waiting)
+def make(*names: str, slots: int = 4, max_waiting: int = 100) -> PoolScheduler:
+    scheduler = PoolScheduler(TwoChoices(Random(1)), max_waiting=max_waiting)
     scheduler.set_upstreams(pool(*names, slots=slots))
     return scheduler
 
@@ -174,7 +174,7 @@
         assert served.index("modest") < 3
 
     async def test_full_lane_refuses_at_once(self, autojump_clock) -> None:
-        scheduler = make("a", slots=1, most_waiting=1)
+        scheduler = make("a", slots=1, max_waiting=1)
         await fill(scheduler, 1)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._wait_in_vain, scheduler)
--- a/railtide/lanes/tests/test_slow_start.py
+++ b/railtide/lanes/tests/test_slow_start.py
@@ -40,7 +40,7 @@
         choice = PrefixAffinity(TwoChoices(Random(name)))
         made = PoolScheduler(choice, urgent_share=0, trusts_list=True)
         shares = SlowStartShares(name, lambda: self.names)
-        made.set_slow_start(BEARS, shares.pause_s)
+        made.set_slow_start(BEARS, shares.interval_s)
         made.set_upstreams(engines)
         return made
 
--- a/railtide/lanes/tests/test_stated_limits.py
+++ b/railtide/lanes/tests/test_stated_limits.py
@@ -15,7 +15,12 @@
 from railtide.membership.instances import Instance
 from railtide.upstreams.advertised_limit import UPDATE_LAG_S, LimitReport, LimitUpdate
 from railtide.upstreams.balancing import Affinity, PrefixAffinity, TwoChoices
-from railtide.upstreams.limit_shares import QUIET_S, TURN_S, LimitShares, routers_sharing
+from railtide.upstreams.limit_shares import (
+    PROBE_AFTER_S,
+    PROBE_STAGGER_S,
+    LimitShares,
+    limit_routers,
+)
 
 WINDOW_S = 4.0
 STABLE_S = 3.0
@@ -358,7 +363,7 @@
         await fleet.play(per_s=40, for_s=6.0)
         ended_at = trio.current_time()
         engine.state(math.inf)
-        await fleet.play(per_s=40, for_s=QUIET_S + 5 * TURN_S + 4)
+        await fleet.play(per_s=40, for_s=PROBE_AFTER_S + 5 * PROBE_STAGGER_S + 4)
         assert used_by(fleet, engine, ended_at) == set(fleet.names)
 
     async def test_all_routers_use_it_again_soon_when_those_with_a_part_tell(
@@ -382,7 +387,7 @@
         fleet = Fleet(8, 8, engines=1, rng=Random(1))
         engine = fleet.engine_by_name["e0"]
         engine.state(0.5)
-        sharing = routers_sharing("e0", fleet.names, 0.5)
+        sharing = limit_routers("e0", fleet.names, 0.5)
         others = [router for router in fleet.routers if router.name not in sharing]
         for router in fleet.routers:
             await fleet.serve(router)
@@ -390,7 +395,7 @@
         ended_at = trio.current_time()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(fleet.tell_news)
-            while trio.current_time() < ended_at + QUIET_S + UPDATE_LAG_S + 6:
+            while trio.current_time() < ended_at + PROBE_AFTER_S + UPDATE_LAG_S + 6:
                 for router in others:
                     nursery.start_soon(fleet.serve, router)
                 await trio.sleep(0.2)
--- a/railtide/platform/calls.py
+++ b/railtide/platform/calls.py
@@ -65,7 +65,7 @@
         stream=route.stream,
         repeatable=route.repeatable,
         affinity=_affinity_of(request, tokens),
-        attempts=route.attempts,
+        max_attempts=route.attempts,
         goal_s=route.goal_s,
         pause_goal_s=route.pause_goal_s,
         rank=priority,
--- a/railtide/platform/upstreams.py
+++ b/railtide/platform/upstreams.py
@@ -12,13 +12,13 @@
 from railtide.membership.instances import Instance
 from railtide.platform import names
 from railtide.platform.notices import notice_of
-from railtide.upstreams.client import PastRun, UpstreamAnswer, UpstreamCall, UpstreamClient
+from railtide.upstreams.client import RunReport, UpstreamAnswer, UpstreamCall, UpstreamClient
 from railtide.upstreams.errors import (
     AnswerMismatch,
-    UpstreamAbsent,
-    UpstreamBroken,
+    UpstreamDisconnected,
     UpstreamLost,
     UpstreamMoved,
+    UpstreamNotListening,
     UpstreamRefused,
 )
 from railtide.upstreams.notice import UpstreamNotice
@@ -48,7 +48,7 @@
             async for data in self._exchange.chunks():
                 yield data
         except HttpError as err:
-            raise UpstreamBroken(err.detail) from err
+            raise UpstreamDisconnected(err.detail) from err
 
     def holds_another(self, body: bytes) -> bool:
         """Tell it by a response's head with this request's id; see `UpstreamAnswer`."""
@@ -84,11 +84,11 @@
         try:
             exchange = await self._pool(upstream).send(request)
         except ConnectRefused as err:
-            raise UpstreamAbsent(err.detail) from err
+            raise UpstreamNotListening(err.detail) from err
         except ConnectFailed as err:
             raise UpstreamRefused(err.detail) from err
         except HttpError as err:
-            raise UpstreamBroken(err.detail) from err
+            raise UpstreamDisconnected(err.detail) from err
         try:
             self._check(upstream, call, exchange, sent_at)
         except BaseException:
@@ -145,11 +145,11 @@
             return ProbeResult.UNKNOWN
         return ProbeResult.CONNECTED
 
-    async def past_run(self, upstream: Instance, request_id: str) -> PastRun:
+    async def run_report(self, upstream: Instance, request_id: str) -> RunReport:
         """Raise: these engines keep no outcomes."""
         raise UpstreamLost("these upstreams keep no outcomes")
 
-    async def cancel(self, upstream: Instance, request_id: str) -> PastRun:
+    async def cancel(self, upstream: Instance, request_id: str) -> RunReport:
         """Raise: these engines stop with their connection."""
         raise UpstreamLost("these upstreams keep no outcomes")
 
--- a/railtide/requests/call.py
+++ b/railtide/requests/call.py
@@ -62,7 +62,7 @@
         Hash of the request, to tell a key used for another one.
     affinity : Affinity
         Which requests of the account share a prompt prefix.
-    attempts : int
+    max_attempts : int
         Most upstreams at which it may run; 0 for the router's own bound.
     goal_s : float
         Response time within which its answer is worth most, seconds; 0 for none.
@@ -101,7 +101,7 @@
     digest: int = 0
     affinity: Affinity = Affinity()
     traceparent: str = ""
-    attempts: int = 0
+    max_attempts: int = 0
     goal_s: float = 0.0
     pause_goal_s: float = 0.0
     rank: int = 5
--- a/railtide/requests/execution.py
+++ b/railtide/requests/execution.py
@@ -30,11 +30,11 @@
 from railtide.telemetry.traceparent import traceparent_of
 from railtide.upstreams.client import UpstreamCall
 from railtide.upstreams.errors import (
-    UpstreamAbsent,
     UpstreamError,
     UpstreamFailed,
     UpstreamLost,
     UpstreamMoved,
+    UpstreamNotListening,
     UpstreamRefused,
 )
 from railtide.upstreams.upstream_state import (
@@ -272,7 +272,7 @@
         if isinstance(err, UpstreamMoved):
             upstream.leaving = True
         now = trio.current_time()
-        if isinstance(err, UpstreamAbsent):
+        if isinstance(err, UpstreamNotListening):
             note_crash(upstream, now)
         if not isinstance(err, UpstreamRefused) or now >= upstream.resting_until:
             note_failure(upstream, now)
@@ -298,9 +298,9 @@
         await self._check_held()
         resumable = self._call.resumable and self._relay.resumable
         begun = self._sink.started and not resumable
-        most_runs = self._call.attempts or self._services.options.attempts
-        most_sent = most_runs + self._services.options.refusals
-        if begun or len(self._lost_tries) >= most_runs or attempt >= most_sent:
+        max_attempts = self._call.max_attempts or self._services.options.max_attempts
+        max_sends = max_attempts + self._services.options.max_extra_refusals
+        if begun or len(self._lost_tries) >= max_attempts or attempt >= max_sends:
             self._log_end_of_tries("answer-begun" if begun else "tries-used")
             raise err
         if not self._retries.try_spend():
--- a/railtide/requests/passthrough.py
+++ b/railtide/requests/passthrough.py
@@ -16,7 +16,7 @@
 from railtide.requests.services import Services
 from railtide.upstreams.client import UpstreamAnswer, UpstreamCall
 from railtide.upstreams.errors import (
-    UpstreamBroken,
+    UpstreamDisconnected,
     UpstreamFailed,
     UpstreamLost,
     UpstreamRefused,
@@ -88,7 +88,7 @@
 
     async def _read_whole(self, answer: UpstreamAnswer) -> Relayed:
         """Return an answer that is no stream; nothing in it tells its tokens, so all count."""
-        kept = await read_answer(answer, self._services.options.most_answer_bytes)
+        kept = await read_answer(answer, self._services.options.max_answer_bytes)
         if answer.holds_another(kept.body):
             # Five callers of one seed of the soak got two answers as one body.
             raise UpstreamLost("another answer follows in a body that only the close ends")
@@ -112,7 +112,7 @@
                 read_at = now
                 await self._pass_on(answer.headers, answer.content_type, self._events.feed(data))
         if not answer.framed and not self._events.at_event_end:
-            raise UpstreamBroken("the connection ended in the middle of an event")
+            raise UpstreamDisconnected("the connection ended in the middle of an event")
         rest = self._events.end()
         kept = Answer(OK_STATUS, answer.content_type, b"")
         return Relayed(self.delivered_cost(), kept, rest, answer.headers, answer.framed)
--- a/railtide/requests/recovery.py
+++ b/railtide/requests/recovery.py
@@ -14,7 +14,7 @@
 from railtide.requests.options import RequestOptions
 from railtide.requests.usage import cost_of_run
 from railtide.telemetry.counters import Counters
-from railtide.upstreams.client import PastRun, RunState, UpstreamClient
+from railtide.upstreams.client import RunReport, RunState, UpstreamClient
 from railtide.upstreams.errors import UpstreamError, UpstreamLost
 from railtide.wire.messages import OrphanMessage
 
@@ -88,7 +88,7 @@
         That no upstream knows the request counts only after the dispatch window: until then its
         old holder, if it lives, may still send it.
         """
-        runs: list[PastRun | None] = []
+        runs: list[RunReport | None] = []
         began = trio.current_time()
         certain_at = began + DRIFT * self._options.dispatch_window_s
         while trio.current_time() < began + self._options.recovery_timeout_s:
@@ -102,20 +102,20 @@
             await trio.sleep(self._options.recovery_interval_s)
         return self._bill_of_lost(orphan, self._wasted(orphan, runs))
 
-    async def _ask_all(self, orphan: OrphanMessage) -> list[PastRun | None]:
+    async def _ask_all(self, orphan: OrphanMessage) -> list[RunReport | None]:
         """Return each upstream's word, None for one that did not answer."""
         scheduler = self._scheduler_of(orphan.pool)
         instances = [u.instance for u in scheduler.by_name.values()] if scheduler else []
         return [await self._ask(instance, orphan.request_id) for instance in instances]
 
-    async def _ask(self, instance: Instance, request_id: str) -> PastRun | None:
+    async def _ask(self, instance: Instance, request_id: str) -> RunReport | None:
         try:
-            return await self._upstreams.past_run(instance, request_id)
+            return await self._upstreams.run_report(instance, request_id)
         except UpstreamError:
             return None
 
     def _wasted(
-        self, orphan: OrphanMessage, runs: list[PastRun | None], answered: PastRun | None = None
+        self, orphan: OrphanMessage, runs: list[RunReport | None], answered: RunReport | None = None
     ) -> int:
         """Return what the runs beside the answered one used; a silent upstream may have run."""
         prices = self._prices_of(orphan.pool)
@@ -124,13 +124,13 @@
         others = [run for run in runs if run is not None and run is not answered]
         return sum(cost_of_run(prices, run, orphan.reserve) for run in others)
 
-    def _bill_of(self, orphan: OrphanMessage, run: PastRun, wasted: int) -> Bill:
+    def _bill_of(self, orphan: OrphanMessage, run: RunReport, wasted: int) -> Bill:
         body = run.body.encode()
         cost = min(orphan.reserve, self._cost(orphan, run, body))
         answer = Answer(run.status, run.content_type, body) if orphan.key else None
         return Bill(orphan.request_id, cost, Outcome.DONE, answer, wasted)
 
-    def _cost(self, orphan: OrphanMessage, run: PastRun, body: bytes) -> int:
+    def _cost(self, orphan: OrphanMessage, run: RunReport, body: bytes) -> int:
         prices = self._prices_of(orphan.pool)
         if run.status != OK_STATUS:
             return 0
--- a/railtide/requests/registry.py
+++ b/railtide/requests/registry.py
@@ -11,12 +11,12 @@
     "Settled",
     "correct",
     "correctable",
-    "drop",
+    "discard",
     "expire_keys",
     "expire_settled",
     "find_key",
     "finish",
-    "is_beaten",
+    "is_key_taken",
     "remember_settled",
     "start",
 ]
@@ -92,7 +92,7 @@
         registry.by_account_and_key[(intent.account, intent.key)] = state
 
 
-def is_beaten(registry: Registry, bill: Bill, request: OpenRequest) -> bool:
+def is_key_taken(registry: Registry, bill: Bill, request: OpenRequest) -> bool:
     """Return whether another request with the same key has ended first.
 
     That happens when a request was sent without its claim while the log was down. Its use is then
@@ -124,7 +124,7 @@
     registry.by_account_and_key[where] = state
 
 
-def drop(registry: Registry, request_id: str) -> None:
+def discard(registry: Registry, request_id: str) -> None:
     """Close an open request without a word on its key."""
     del registry.by_request_id[request_id]
 
--- a/railtide/requests/relay.py
+++ b/railtide/requests/relay.py
@@ -131,7 +131,7 @@
     # -- whole answers ------------------------------------------------------------------------
 
     async def _read_whole(self, answer: UpstreamAnswer) -> Relayed:
-        kept = await read_answer(answer, self._services.options.most_answer_bytes)
+        kept = await read_answer(answer, self._services.options.max_answer_bytes)
         return Relayed(self._cost_of_whole(kept, answer.framed), kept, kept.body)
 
     def _cost_of_whole(self, answer: Answer, framed: bool) -> int:
@@ -173,7 +173,7 @@
         """Take a broken stream up again at its engine, which keeps what it generated."""
         resumes = 0
         while not self._checker.finished:
-            if not self._sink.started or resumes >= self._services.options.resumes:
+            if not self._sink.started or resumes >= self._services.options.max_resumes:
                 raise UpstreamLost("the stream ended without its end mark")
             resumes += 1
             self._services.counters.add("streams_resumed")
--- a/railtide/requests/retry.py
+++ b/railtide/requests/retry.py
@@ -3,7 +3,7 @@
 __all__ = ["RetryBudget"]
 
 SHARE = 0.1
-MOST_SAVED = 20.0
+MAX_SAVED = 20.0
 FIRST_SAVED = 5.0
 
 
@@ -14,32 +14,32 @@
     ----------
     share : float
         Retries earned by one request.
-    most : float
+    capacity : float
         Most retries that can be saved up.
 
     Attributes
     ----------
-    most : float
+    capacity : float
         May be changed; what is saved up beyond it goes with the next request.
 
     Examples
     --------
-    >>> budget = RetryBudget(share=0.5, most=1.0, saved=0.0)
+    >>> budget = RetryBudget(share=0.5, capacity=1.0, saved=0.0)
     >>> budget.earn(); budget.earn()
     >>> budget.try_spend(), budget.try_spend()
     (True, False)
     """
 
     def __init__(
-        self, share: float = SHARE, most: float = MOST_SAVED, saved: float = FIRST_SAVED
+        self, share: float = SHARE, capacity: float = MAX_SAVED, saved: float = FIRST_SAVED
     ) -> None:
-        self.most = most
+        self.capacity = capacity
         self._share = share
         self._saved = saved
 
     def earn(self) -> None:
         """Count a request."""
-        self._saved = min(self.most, self._saved + self._share)
+        self._saved = min(self.capacity, self._saved + self._share)
 
     def try_spend(self) -> bool:
         """Take one retry if there is one."""
--- a/railtide/requests/tests/test_recovery.py
+++ b/railtide/requests/tests/test_recovery.py
@@ -13,20 +13,20 @@
 from railtide.requests.recovery import Recovery
 from railtide.telemetry.counters import Counters
 from railtide.upstreams.balancing import RoundRobin
-from railtide.upstreams.client import PastRun, RunState, RunUsage
+from railtide.upstreams.client import RunReport, RunState, RunUsage
 from railtide.upstreams.errors import UpstreamLost
 from railtide.wire.messages import OrphanMessage
 
 OPTIONS = RequestOptions(dispatch_window_s=2.0, recovery_timeout_s=20.0)
 BODY = '{"id":"r","usage":{"prompt_tokens":3,"completion_tokens":4}}'
-DONE = PastRun(RunState.DONE, RunUsage(3, 4), 200, "application/json", BODY)
-UNKNOWN = PastRun(RunState.UNKNOWN)
+DONE = RunReport(RunState.DONE, RunUsage(3, 4), 200, "application/json", BODY)
+UNKNOWN = RunReport(RunState.UNKNOWN)
 
 
 class Case:
     """A recovery at two upstreams that say what the test lists, the last word for ever."""
 
-    def __init__(self, **words: list[PastRun | None]) -> None:
+    def __init__(self, **words: list[RunReport | None]) -> None:
         self.words = words
         self.records = []
         self.fenced = False
@@ -49,7 +49,7 @@
     async def _decide(self, seq: int) -> None:
         self.writer.take_verdict(Verdict(seq, Code.OK, 0, fenced=self.fenced))
 
-    async def past_run(self, upstream: Instance, request_id: str) -> PastRun:
+    async def run_report(self, upstream: Instance, request_id: str) -> RunReport:
         words = self.words[upstream.name]
         word = words.pop(0) if len(words) > 1 else words[0]
         if word is None:
@@ -68,7 +68,7 @@
         assert await Case(e=[DONE]).bill() == Bill("r", 11)
 
     async def test_running_one_is_waited_for(self, autojump_clock) -> None:
-        running = PastRun(RunState.RUNNING)
+        running = RunReport(RunState.RUNNING)
         assert (await Case(e=[running, running, DONE]).bill()).cost == 11
 
     async def test_unknown_one_is_not_run_only_after_the_window(self, autojump_clock) -> None:
@@ -89,7 +89,7 @@
         assert (bill.cost, bill.wasted) == (0, 50)
 
     async def test_other_tries_are_counted_as_waste(self, autojump_clock) -> None:
-        cancelled = PastRun(RunState.CANCELLED, RunUsage(3, 1))
+        cancelled = RunReport(RunState.CANCELLED, RunUsage(3, 1))
         bill = await Case(e=[DONE], other=[cancelled]).bill()
         assert (bill.cost, bill.wasted) == (11, 5)
 
--- a/railtide/requests/usage.py
+++ b/railtide/requests/usage.py
@@ -2,18 +2,18 @@
 
 from railtide.membership.instances import Instance
 from railtide.requests.call import Prices, Usage, cost_of
-from railtide.upstreams.client import PastRun, RunState, UpstreamClient
+from railtide.upstreams.client import RunReport, RunState, UpstreamClient
 from railtide.upstreams.errors import UpstreamError
 
 __all__ = ["cancel_and_learn_cost", "cost_of_run"]
 
 
-def cost_of_run(prices: Prices, run: PastRun, reserve: int) -> int:
+def cost_of_run(prices: Prices, run: RunReport, reserve: int) -> int:
     """Return what a run used, units; the whole reserve where that can't be told.
 
     Examples
     --------
-    >>> cost_of_run(Prices(call=5), PastRun(RunState.UNKNOWN), 9)
+    >>> cost_of_run(Prices(call=5), RunReport(RunState.UNKNOWN), 9)
     0
     """
     if run.state is RunState.UNKNOWN:
--- a/railtide/standins/engine.py
+++ b/railtide/standins/engine.py
@@ -15,7 +15,7 @@
 
 from railtide.standins.faults import FaultKind, Faults
 from railtide.standins.log import add_fault_routes
-from railtide.upstreams.client import PastRun, RunState, RunUsage
+from railtide.upstreams.client import RunReport, RunState, RunUsage
 
 __all__ = ["Engine", "EngineBody", "EngineRun", "follow_run", "make_engine_app"]
 
@@ -150,23 +150,23 @@
         self._fill()
         return run
 
-    def past_run(self, request_id: str) -> PastRun:
+    def run_report(self, request_id: str) -> RunReport:
         """Return what became of a request."""
         run = self.runs_by_id.get(request_id)
         if run is None:
-            return PastRun(RunState.UNKNOWN)
+            return RunReport(RunState.UNKNOWN)
         used = RunUsage(run.prompt_tokens, run.generated)
         if run.cancelled:
-            return PastRun(RunState.CANCELLED, used)
+            return RunReport(RunState.CANCELLED, used)
         if not run.done:
-            return PastRun(RunState.RUNNING, used)
+            return RunReport(RunState.RUNNING, used)
         kind = EVENTS if run.stream else JSON
-        return PastRun(RunState.DONE, used, 200, kind, run.whole().decode())
+        return RunReport(RunState.DONE, used, 200, kind, run.whole().decode())
 
-    def cancel(self, request_id: str) -> PastRun:
+    def cancel(self, request_id: str) -> RunReport:
         """Stop a request and return what it used; one not seen yet will not be started."""
         self._cancel(request_id)
-        return self.past_run(request_id)
+        return self.run_report(request_id)
 
     def _cancel(self, request_id: str) -> None:
         run = self.runs_by_id.get(request_id)
@@ -269,8 +269,8 @@
         return _stream(run, request_id, faults)
 
     @app.get("/v1/requests/<request_id>")
-    async def past_run(request_id: str) -> Response:
-        return _json(engine.past_run(request_id))
+    async def run_report(request_id: str) -> Response:
+        return _json(engine.run_report(request_id))
 
     @app.delete("/v1/requests/<request_id>")
     async def cancel(request_id: str) -> Response:
--- a/railtide/standins/service.py
+++ b/railtide/standins/service.py
@@ -10,7 +10,7 @@
 
 from railtide.standins.faults import FaultKind, Faults
 from railtide.standins.log import add_fault_routes
-from railtide.upstreams.client import PastRun, RunState
+from railtide.upstreams.client import RunReport, RunState
 
 __all__ = ["PlainService", "ServiceRun", "make_service_app"]
 
@@ -57,14 +57,14 @@
             self.runs_by_id.popitem(last=False)
         return self.answer(run)
 
-    def past_run(self, request_id: str) -> PastRun:
+    def run_report(self, request_id: str) -> RunReport:
         """Return what became of a request."""
         if request_id in self.open_ids:
-            return PastRun(RunState.RUNNING)
+            return RunReport(RunState.RUNNING)
         run = self.runs_by_id.get(request_id)
         if run is None:
-            return PastRun(RunState.UNKNOWN)
-        return PastRun(RunState.DONE, None, 200, JSON, self.answer(run).decode())
+            return RunReport(RunState.UNKNOWN)
+        return RunReport(RunState.DONE, None, 200, JSON, self.answer(run).decode())
 
     @staticmethod
     def answer(run: ServiceRun) -> bytes:
@@ -106,12 +106,12 @@
         return _json({"running": service.running, "queued": 0, "leaving": service.leaving})
 
     @app.get("/v1/requests/<request_id>")
-    async def past_run(request_id: str) -> Response:
-        return _json(service.past_run(request_id))
+    async def run_report(request_id: str) -> Response:
+        return _json(service.run_report(request_id))
 
     @app.delete("/v1/requests/<request_id>")
     async def cancel(request_id: str) -> Response:
-        return _json(service.past_run(request_id))
+        return _json(service.run_report(request_id))
 
     @app.post("/leave")
     async def leave() -> Response:
--- a/railtide/upstreams/client.py
+++ b/railtide/upstreams/client.py
@@ -13,7 +13,7 @@
 from railtide.upstreams.upstream_state import LoadReport
 
 __all__ = [
-    "PastRun",
+    "RunReport",
     "RunState",
     "RunUsage",
     "UpstreamAnswer",
@@ -81,7 +81,7 @@
     completion_tokens: int
 
 
-class PastRun(msgspec.Struct, frozen=True):
+class RunReport(msgspec.Struct, frozen=True):
     """What became of a request, in an upstream's own words."""
 
     state: RunState
@@ -114,11 +114,11 @@
         return ProbeResult.UNKNOWN
 
     @abstractmethod
-    async def past_run(self, upstream: Instance, request_id: str) -> PastRun:
+    async def run_report(self, upstream: Instance, request_id: str) -> RunReport:
         """Return what became of a request; raises `UpstreamLost` without an answer."""
 
     @abstractmethod
-    async def cancel(self, upstream: Instance, request_id: str) -> PastRun:
+    async def cancel(self, upstream: Instance, request_id: str) -> RunReport:
         """Stop a request and return what it used; raises `UpstreamLost` without an answer."""
 
     @abstractmethod
--- a/railtide/upstreams/errors.py
+++ b/railtide/upstreams/errors.py
@@ -4,8 +4,8 @@
 
 __all__ = [
     "AnswerMismatch",
-    "UpstreamAbsent",
-    "UpstreamBroken",
+    "UpstreamNotListening",
+    "UpstreamDisconnected",
     "UpstreamError",
     "UpstreamFailed",
     "UpstreamLost",
@@ -29,7 +29,7 @@
     run = Run.NOT_RUN
 
 
-class UpstreamAbsent(UpstreamRefused):
+class UpstreamNotListening(UpstreamRefused):
     """Nothing listens at the upstream's address."""
 
 
@@ -46,7 +46,7 @@
     run = Run.UNKNOWN
 
 
-class UpstreamBroken(UpstreamLost):
+class UpstreamDisconnected(UpstreamLost):
     """The connection ended before a whole answer; the upstream may have ended, or not."""
 
 
--- a/railtide/upstreams/http_upstreams.py
+++ b/railtide/upstreams/http_upstreams.py
@@ -7,7 +7,7 @@
 import trio
 
 from railtide.membership.instances import Instance
-from railtide.upstreams.client import PastRun, UpstreamAnswer, UpstreamCall, UpstreamClient
+from railtide.upstreams.client import RunReport, UpstreamAnswer, UpstreamCall, UpstreamClient
 from railtide.upstreams.errors import UpstreamLost, UpstreamRefused
 from railtide.upstreams.upstream_state import LoadReport
 
@@ -87,18 +87,18 @@
             raise UpstreamRefused(f"the upstream refused with {response.status_code}")
         raise UpstreamLost(f"the upstream failed with {response.status_code}")
 
-    async def past_run(self, upstream: Instance, request_id: str) -> PastRun:
-        """Ask what became of a request; see `UpstreamClient.past_run`."""
+    async def run_report(self, upstream: Instance, request_id: str) -> RunReport:
+        """Ask what became of a request; see `UpstreamClient.run_report`."""
         return await self._ask_of_run(upstream, "GET", request_id)
 
-    async def cancel(self, upstream: Instance, request_id: str) -> PastRun:
+    async def cancel(self, upstream: Instance, request_id: str) -> RunReport:
         """Cancel a request; see `UpstreamClient.cancel`."""
         return await self._ask_of_run(upstream, "DELETE", request_id)
 
-    async def _ask_of_run(self, upstream: Instance, method: str, request_id: str) -> PastRun:
+    async def _ask_of_run(self, upstream: Instance, method: str, request_id: str) -> RunReport:
         answer = await self._ask(upstream, method, f"/v1/requests/{request_id}")
         try:
-            return msgspec.json.decode(answer.content, type=PastRun)
+            return msgspec.json.decode(answer.content, type=RunReport)
         except msgspec.DecodeError as err:
             raise UpstreamLost(f"the outcome can't be read: {err}") from err
 
--- a/railtide/upstreams/slow_start.py
+++ b/railtide/upstreams/slow_start.py
@@ -21,9 +21,9 @@
 
 from railtide.membership.addresses import rendezvous_order
 
-__all__ = ["SlowStart", "SlowStartShares", "pause_s", "sharing_routers"]
+__all__ = ["SlowStart", "SlowStartShares", "interval_s", "slow_start_routers"]
 
-PAUSE_MARGIN = 1.01
+INTERVAL_MARGIN = 1.01
 """Requests a pause apart may arrive a little closer to one another than they were sent."""
 
 
@@ -43,32 +43,33 @@
     for_s: float = 0.0
 
 
-def sharing_routers(upstream: str, routers: Sequence[str], per_s: float) -> list[str]:
+def slow_start_routers(upstream: str, routers: Sequence[str], per_s: float) -> list[str]:
     """Return the routers that may send to a cold upstream: no more than it bears requests a second.
 
     Examples
     --------
-    >>> len(sharing_routers("e1", ["r1", "r2", "r3", "r4", "r5"], per_s=3.5))
+    >>> len(slow_start_routers("e1", ["r1", "r2", "r3", "r4", "r5"], per_s=3.5))
     3
-    >>> sharing_routers("e1", ["r1", "r2"], per_s=3.5) == sharing_routers("e1", ["r2", "r1"], 3.5)
+    >>> first = slow_start_routers("e1", ["r1", "r2"], per_s=3.5)
+    >>> first == slow_start_routers("e1", ["r2", "r1"], per_s=3.5)
     True
     """
     return rendezvous_order(upstream, routers)[: max(1, int(per_s))]
 
 
-def pause_s(routers: int, per_s: float) -> float:
+def interval_s(routers: int, per_s: float) -> float:
     """Return the least time between two requests of one router to a cold upstream, seconds.
 
     Examples
     --------
-    >>> [round(pause_s(routers, per_s=7.7), 2) for routers in (1, 3, 7)]
+    >>> [round(interval_s(routers, per_s=7.7), 2) for routers in (1, 3, 7)]
     [0.14, 0.51, 1.01]
-    >>> round(pause_s(1, per_s=0.5), 2)
+    >>> round(interval_s(1, per_s=0.5), 2)
     2.02
     """
     if per_s < 1:
-        return PAUSE_MARGIN / per_s
-    return PAUSE_MARGIN / max(1, int(per_s / routers))
+        return INTERVAL_MARGIN / per_s
+    return INTERVAL_MARGIN / max(1, int(per_s / routers))
 
 
 class SlowStartShares:
@@ -84,9 +85,9 @@
     Examples
     --------
     >>> shares = SlowStartShares("r1", lambda: ["r1", "r2"])
-    >>> round(shares.pause_s("e1", per_s=8.0), 2)
+    >>> round(shares.interval_s("e1", per_s=8.0), 2)
     0.25
-    >>> SlowStartShares("r3", lambda: ["r1", "r2"]).pause_s("e1", per_s=8.0)
+    >>> SlowStartShares("r3", lambda: ["r1", "r2"]).interval_s("e1", per_s=8.0)
     inf
     """
 
@@ -96,7 +97,7 @@
         self._known: Sequence[str] = ()
         self._pause_by_upstream: dict[str, float] = {}
 
-    def pause_s(self, upstream: str, per_s: float) -> float:
+    def interval_s(self, upstream: str, per_s: float) -> float:
         """Return the time between two requests of this router; infinite if others send them."""
         routers = self._routers()
         if routers != self._known:
@@ -104,9 +105,9 @@
             self._pause_by_upstream.clear()
         pause = self._pause_by_upstream.get(upstream)
         if pause is None:
-            pause = self._pause_by_upstream[upstream] = self._new_pause_s(upstream, per_s)
+            pause = self._pause_by_upstream[upstream] = self._compute_interval_s(upstream, per_s)
         return pause
 
-    def _new_pause_s(self, upstream: str, per_s: float) -> float:
-        sharing = sharing_routers(upstream, self._known, per_s)
-        return pause_s(len(sharing), per_s) if self._own in sharing else math.inf
+    def _compute_interval_s(self, upstream: str, per_s: float) -> float:
+        sharing = slow_start_routers(upstream, self._known, per_s)
+        return interval_s(len(sharing), per_s) if self._own in sharing else math.inf
--- a/railtide/upstreams/tests/test_limit_shares.py
+++ b/railtide/upstreams/tests/test_limit_shares.py
@@ -6,7 +6,12 @@
 from hypothesis import strategies as st
 
 from railtide.membership.entrance_set import Visits
-from railtide.upstreams.limit_shares import QUIET_S, TURN_S, LimitShares, routers_sharing
+from railtide.upstreams.limit_shares import (
+    PROBE_AFTER_S,
+    PROBE_STAGGER_S,
+    LimitShares,
+    limit_routers,
+)
 from railtide.upstreams.tests.test_slow_start import sends
 
 NAMES = [f"r{n}" for n in range(40)]
@@ -33,7 +38,7 @@
 def pauses(named: list[str], per_s: float) -> list[float]:
     """Return the pause of each router, named or not."""
     visits = visits_in(named)
-    return [LimitShares(r, lambda: visits).pause_s("e", per_s) for r in NAMES]
+    return [LimitShares(r, lambda: visits).interval_s("e", per_s) for r in NAMES]
 
 
 class TestBound:
@@ -65,7 +70,7 @@
     @given(st.integers(min_value=1, max_value=60), RATES)
     def test_all_of_it_is_used(self, routers: int, per_s: float) -> None:
         visits = Visits(tuple(f"r{n}" for n in range(routers)))
-        parts = [LimitShares(r, lambda: visits).pause_s("e", per_s) for r in visits.visited]
+        parts = [LimitShares(r, lambda: visits).interval_s("e", per_s) for r in visits.visited]
         sent_per_s = sum(1 / pause for pause in parts)
         assert math.isclose(sent_per_s, per_s)
 
@@ -75,7 +80,7 @@
         """Of 20 routers none is left without a part of any of 40 upstreams."""
         parts = dict.fromkeys(NAMES[:20], 0)
         for number in range(40):
-            for router in routers_sharing(f"e{number}", NAMES[:20], per_s=1.5):
+            for router in limit_routers(f"e{number}", NAMES[:20], per_s=1.5):
                 parts[router] += 1
         assert sum(parts.values()) == 120
         assert min(parts.values()) >= 1 and max(parts.values()) <= 14
@@ -85,26 +90,26 @@
         waits = []
         for router in NAMES:
             shares = LimitShares(router, lambda: visits)
-            if math.isinf(shares.pause_s("e", 1.0)):
-                waits.append(shares.patience_s("e", 1.0))
-        assert sorted(waits) == [QUIET_S + TURN_S * place for place in range(37)]
+            if math.isinf(shares.interval_s("e", 1.0)):
+                waits.append(shares.probe_after_s("e", 1.0))
+        assert sorted(waits) == [PROBE_AFTER_S + PROBE_STAGGER_S * place for place in range(37)]
 
     def test_router_that_knows_of_nobody_has_a_turn(self) -> None:
         shares = LimitShares("r1", Visits)
-        assert math.isinf(shares.pause_s("e", 1.0))
-        assert shares.patience_s("e", 1.0) == QUIET_S
+        assert math.isinf(shares.interval_s("e", 1.0))
+        assert shares.probe_after_s("e", 1.0) == PROBE_AFTER_S
 
     def test_router_that_has_a_part_since_a_moment_ago_has_the_first_turn(self) -> None:
         """The fleet is looked at anew for each question."""
         shares = LimitShares("r1", lambda: Visits(("r1",)))
-        assert shares.patience_s("e", 1.0) == QUIET_S
+        assert shares.probe_after_s("e", 1.0) == PROBE_AFTER_S
 
     def test_shares_follow_the_fleet(self) -> None:
         known = [Visits(("r1", "r2")), Visits(("r1",))]
         shares = LimitShares("r1", lambda: known[0])
-        assert shares.pause_s("e", 1.0) == 2.0
+        assert shares.interval_s("e", 1.0) == 2.0
         del known[0]
-        assert shares.pause_s("e", 1.0) == 1.0
+        assert shares.interval_s("e", 1.0) == 1.0
 
     @given(st.integers(min_value=1, max_value=39), st.floats(min_value=0.05, max_value=400.0))
     def test_all_parts_together_are_no_more_than_the_limit(
@@ -116,5 +121,5 @@
     @given(RATES, st.integers(min_value=1, max_value=39))
     def test_idle_routers_have_a_part_of_a_high_rate_only(self, per_s: float, visited: int) -> None:
         visits = visits_in(NAMES[:visited])
-        pause = LimitShares(NAMES[-1], lambda: visits).pause_s("e", per_s)
+        pause = LimitShares(NAMES[-1], lambda: visits).interval_s("e", per_s)
         assert math.isfinite(pause) == (len(visits.idle) <= 0.2 * per_s)
--- a/railtide/upstreams/tests/test_slow_start.py
+++ b/railtide/upstreams/tests/test_slow_start.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from railtide.upstreams.slow_start import SlowStartShares, pause_s, sharing_routers
+from railtide.upstreams.slow_start import SlowStartShares, interval_s, slow_start_routers
 
 NAMES = [f"r{n}" for n in range(40)]
 FLEETS = st.lists(st.sampled_from(NAMES), min_size=1, max_size=40, unique=True)
@@ -43,7 +43,7 @@
         times: list[float] = []
         for router, first_at in zip(NAMES, firsts, strict=True):
             shares = SlowStartShares(router, lambda: fleet)
-            times += sends(shares.pause_s("e", per_s), first_at, for_s=4.0)
+            times += sends(shares.interval_s("e", per_s), first_at, for_s=4.0)
         assert most_within_a_second(times) <= max(1, per_s)
 
     @given(FLEETS, FLEETS, st.floats(min_value=1.0, max_value=10.0))
@@ -55,28 +55,28 @@
         times: list[float] = []
         for place, router in enumerate(NAMES):
             view = old if place % 2 else new
-            pause = SlowStartShares(router, lambda view=view: view).pause_s("e", per_s)
+            pause = SlowStartShares(router, lambda view=view: view).interval_s("e", per_s)
             times += sends(pause, 0.0, for_s=3.0)
         assert most_within_a_second(times) <= 2 * per_s
 
     @given(st.integers(min_value=1, max_value=60), RATES)
     def test_most_of_what_an_upstream_bears_is_sent(self, routers: int, per_s: float) -> None:
-        sharing = sharing_routers("e", [f"r{n}" for n in range(routers)], per_s)
-        sent_per_s = len(sharing) / pause_s(len(sharing), per_s)
+        sharing = slow_start_routers("e", [f"r{n}" for n in range(routers)], per_s)
+        sent_per_s = len(sharing) / interval_s(len(sharing), per_s)
         assert sent_per_s >= 0.49 * per_s
 
     def test_shares_follow_the_fleet(self) -> None:
         fleet = ["r1", "r2"]
         shares = SlowStartShares("r3", lambda: list(fleet))
-        assert shares.pause_s("e", 8.0) == math.inf
+        assert shares.interval_s("e", 8.0) == math.inf
         fleet.append("r3")
-        assert shares.pause_s("e", 8.0) < 1
+        assert shares.interval_s("e", 8.0) < 1
 
     def test_upstreams_are_shared_out_over_the_fleet(self) -> None:
         """Of 70 upstreams that bear three requests each, none of 20 routers has most."""
         counts = dict.fromkeys(NAMES[:20], 0)
         for n in range(70):
-            for router in sharing_routers(f"e{n}", NAMES[:20], 3.0):
+            for router in slow_start_routers(f"e{n}", NAMES[:20], 3.0):
                 counts[router] += 1
         assert sum(counts.values()) == 210
         assert max(counts.values()) <= 22 and min(counts.values()) >= 3
@@ -84,5 +84,5 @@
 
 class TestSends:
     def test_neighbours_are_a_pause_apart(self) -> None:
-        times = sends(pause_s(1, 5.0), 0.0, 2.0)
+        times = sends(interval_s(1, 5.0), 0.0, 2.0)
         assert all(after - before >= 0.2 for before, after in pairwise(times))
--- a/tests/matrix/ports.py
+++ b/tests/matrix/ports.py
@@ -22,7 +22,7 @@
 from railtide.standins.log import LogStore
 from railtide.standins.service import PlainService
 from railtide.upstreams.client import (
-    PastRun,
+    RunReport,
     UpstreamAnswer,
     UpstreamCall,
     UpstreamClient,
@@ -272,23 +272,23 @@
         await self._platform.reached("answer-end", "during", self._port.name)
         await self._port.gate()
 
-    async def past_run(self, upstream: Instance, request_id: str) -> PastRun:
+    async def run_report(self, upstream: Instance, request_id: str) -> RunReport:
         await self._port.gate()
         await trio.sleep(HOP_S)
         service = self._platform.services.get(upstream.address)
         engine = self._platform.engines.get(upstream.address)
         if service:
-            return service.past_run(request_id)
+            return service.run_report(request_id)
         if engine is None:
             raise UpstreamLost("no connection")
-        return engine.past_run(request_id)
+        return engine.run_report(request_id)
 
-    async def cancel(self, upstream: Instance, request_id: str) -> PastRun:
+    async def cancel(self, upstream: Instance, request_id: str) -> RunReport:
         await self._port.gate()
         engine = self._platform.engines.get(upstream.address)
         if engine:
             return engine.cancel(request_id)
-        return await self.past_run(upstream, request_id)
+        return await self.run_report(upstream, request_id)
 
     async def load(self, upstream: Instance) -> LoadReport:
         await self._port.gate()
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -112,7 +112,7 @@
     Mutant(
         "key-billed-twice",
         "journal/fold.py",
-        "    if is_beaten(state.registry, record, request):",
+        "    if is_key_taken(state.registry, record, request):",
         "    if False:",
         (FOLD,),
     ),
@@ -547,8 +547,8 @@
     Mutant(
         "refusals-count-as-attempts",
         "requests/execution.py",
-        "attempt >= most_sent",
-        "attempt >= most_runs",
+        "attempt >= max_sends",
+        "attempt >= max_attempts",
         (PLATFORM,),
     ),
     Mutant(
@@ -2323,8 +2323,8 @@
     Mutant(
         "each-router-sends-to-a-cold-upstream",
         "upstreams/slow_start.py",
-        "return pause_s(len(sharing), per_s) if self._own in sharing else math.inf",
-        "return pause_s(len(sharing), per_s)",
+        "return interval_s(len(sharing), per_s) if self._own in sharing else math.inf",
+        "return interval_s(len(sharing), per_s)",
         ("railtide/upstreams/tests/test_slow_start.py",),
     ),
     Mutant(
@@ -2400,7 +2400,7 @@
     Mutant(
         "limit-that-some-routers-never-see-end",
         "lanes/admission.py",
-        "return patience if quiet_s >= patience else math.inf",
+        "return probe_after if quiet_s >= probe_after else math.inf",
         "return math.inf",
         (STATED_LIMITS,),
     ),
@@ -2448,7 +2448,7 @@
     Mutant(
         "idle-routers-have-no-part-of-a-high-limit",
         "upstreams/limit_shares.py",
-        "return idle_pause_s if has_idle_part else math.inf",
+        "return idle_interval_s if has_idle_part else math.inf",
         "return math.inf",
         (LIMIT_SHARES,),
     ),
@@ -2532,8 +2532,8 @@
     Mutant(
         "rest-of-a-paced-upstream-not-kept",
         "lanes/admission.py",
-        "return max(upstream.resting_until, upstream.sent_at + pause_s)",
-        "return upstream.sent_at + pause_s",
+        "return max(upstream.resting_until, upstream.sent_at + interval_s)",
+        "return upstream.sent_at + interval_s",
         (STATED_LIMITS,),
     ),
     Mutant(
