--- a/railtide/lanes/__init__.py
+++ b/railtide/lanes/__init__.py
@@ -1,1 +1,1 @@
-"""Lanes: who is served next, and who waits."""
+"""Lanes: queueing, admission and scheduling of requests."""
--- a/railtide/lanes/admission.py
+++ b/railtide/lanes/admission.py
@@ -1,7 +1,7 @@
-"""Whether one router may send to an upstream now, and if not, from when on.
+"""Decides whether one router may send to an upstream now, and if not, from when on.
 
-What may keep a request from an upstream: it leaves, its failure domain is drained, it asked for a
-rest, it states a limit, it is cold.
+A router may not send to an upstream that is leaving, whose failure domain is drained, that asked
+for a rest, that advertises a rate limit (between two requests), or that is cold (likewise).
 """
 
 import math
@@ -16,14 +16,14 @@
 __all__ = ["Admission", "BlockReason", "ColdInterval"]
 
 STANDALONE = ""
-"""Name of a router that knows of no others."""
+"""Name of a router that runs alone."""
 ColdInterval = Callable[[str, float], float]
-"""Returns the seconds between two requests of this router to a cold upstream, by its name and the
-requests a second that it bears; infinite where the router is to send it none."""
+"""Returns the minimum seconds between two requests of this router to a cold upstream, by its name
+and the requests per second that it can serve; infinite if this router may send it none."""
 
 
 class BlockReason(StrEnum):
-    """What keeps a router's requests from an upstream."""
+    """Why a router may not send to an upstream now."""
 
     LEAVING = "leaving"
     DRAINED = "drained"
@@ -37,7 +37,7 @@
 
 
 class Admission:
-    """Keeps what one router has been told that holds for its requests to upstreams."""
+    """Holds the restrictions on one router's requests to the upstreams of a pool."""
 
     def __init__(self) -> None:
         self._drained: frozenset[str] = frozenset()
@@ -46,30 +46,30 @@
         self._limit_shares = LimitShares(STANDALONE, lambda: Visits((STANDALONE,)))
 
     def set_slow_start(self, slow_start: SlowStart, cold_interval_s: ColdInterval) -> None:
-        """Take what cold upstreams bear, and this router's part of it."""
+        """Set the rate that cold upstreams can serve, and this router's share of it."""
         self._slow_start = slow_start
         self._cold_interval_s = cold_interval_s
 
     def set_limit_shares(self, shares: LimitShares) -> None:
-        """Take this router's part of what upstreams with a limit are sent."""
+        """Set this router's shares of the limits that upstreams advertise."""
         self._limit_shares = shares
 
     def set_drained(self, domains: frozenset[str]) -> frozenset[str]:
-        """Take the failure domains that are drained; return those whose drain ends."""
+        """Set the drained failure domains; return those that are no longer drained."""
         ended = self._drained - domains
         self._drained = domains
         return ended
 
     def mark_cold(self, upstream: Upstream, now: float) -> None:
-        """Record that an upstream has just started, or comes back without its caches."""
+        """Record that an upstream has just started, or returns with empty caches."""
         upstream.cold_until = max(upstream.cold_until, now + self._slow_start.for_s)
 
     def is_paced(self, upstream: Upstream, now: float) -> bool:
-        """Return whether requests to an upstream have to be some time apart."""
+        """Return whether requests to an upstream need a minimum interval."""
         return upstream.limit.in_force or self._is_slow_starting(upstream, now)
 
     def available_at(self, upstream: Upstream, now: float) -> float:
-        """Return from when on this router may send to an upstream; infinite for not by itself."""
+        """Return from when on this router may send to an upstream; infinite if time alone won't."""
         if self._is_excluded(upstream):
             return math.inf
         if upstream.limit.per_s == math.inf and not self._is_slow_starting(upstream, now):
@@ -80,7 +80,7 @@
         return max(upstream.resting_until, upstream.sent_at + interval_s)
 
     def block_reason(self, upstream: Upstream, now: float) -> BlockReason | None:
-        """Return what keeps this router's requests from an upstream now."""
+        """Return why this router may not send to an upstream now, or None if it may."""
         if now >= self.available_at(upstream, now):
             return None
         if is_leaving(upstream):
@@ -95,16 +95,16 @@
         return is_leaving(upstream) or upstream.instance.failure_domain in self._drained
 
     def next_check_at(self, upstream: Upstream, now: float) -> float:
-        """Return when time alone may have opened an upstream that is not open now."""
+        """Return when to check an unavailable upstream again; time alone may free it by then."""
         available_at = self.available_at(upstream, now)
         if not self._is_slow_starting(upstream, now):
             return available_at
         return min(available_at, max(upstream.resting_until, upstream.cold_until))
 
     def interval_s(self, upstream: Upstream, now: float) -> float:
-        """Return the least time between two requests of this router to a paced upstream.
+        """Return the minimum seconds between two requests of this router to a paced upstream.
 
-        Infinite where others send them.
+        Infinite if only other routers may send to it.
         """
         cold_s = limit_s = 0.0
         if self._is_slow_starting(upstream, now):
--- a/railtide/lanes/errors.py
+++ b/railtide/lanes/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the lanes. Each is raised before anything ran."""
+"""Errors of the lanes. Each is raised before the request was sent to an upstream."""
 
 from railtide.errors import RailtideError, Run
 
@@ -6,7 +6,7 @@
 
 
 class LaneError(RailtideError):
-    """Base of the lanes' errors."""
+    """Base of errors of the lanes."""
 
     code = "lane-error"
     status = 503
@@ -14,18 +14,18 @@
 
 
 class QueueFull(LaneError):
-    """As many requests wait as the lane holds."""
+    """The lane holds its maximum number of waiting requests."""
 
     code = "queue-full"
 
 
 class DeadlineTooNear(LaneError):
-    """The request would wait, or has waited, past its deadline."""
+    """The request would wait, or has waited, past its goal or deadline."""
 
     code = "deadline-too-near"
 
 
 class NoUpstream(LaneError):
-    """No upstream of the pool takes new work."""
+    """No upstream of the pool accepts new requests."""
 
     code = "no-upstream"
--- a/railtide/lanes/pool_notices.py
+++ b/railtide/lanes/pool_notices.py
@@ -1,4 +1,4 @@
-"""What the upstreams of one pool say of themselves, with a line for each change."""
+"""Applies the rate limits and rests that the upstreams of one pool request; logs each change."""
 
 import math
 from collections.abc import Callable
@@ -19,17 +19,17 @@
 __all__ = ["MAX_REST_S", "PoolNotices"]
 
 MAX_REST_S = 60.0
-"""A longer rest counts as this one: an upstream is not given up by one word."""
+"""Longer rests are cut to this, so that one answer can't disable an upstream for good."""
 
 
 class PoolNotices:
-    """Keeps what upstreams say in their answers, and what other routers tell of it.
+    """Applies notices from upstreams' answers, and updates from other routers.
 
     Parameters
     ----------
     upstreams : PoolUpstreams
     on_change : callable
-        Called after each change of what the upstreams take.
+        Called after each change of what the upstreams accept.
     """
 
     def __init__(self, upstreams: PoolUpstreams, on_change: Callable[[], None]) -> None:
@@ -37,7 +37,7 @@
         self._on_change = on_change
 
     def apply_limit_report(self, name: str, report: LimitReport) -> None:
-        """Take what an upstream's answer says of its limit."""
+        """Apply the limit that an answer of an upstream advertises."""
         upstream = self._upstreams.by_name[name]
         before = upstream.limit.per_s
         if apply_report(upstream.limit, report, trio.current_time()):
@@ -45,7 +45,7 @@
             self._on_change()
 
     def apply_rest(self, name: str, rest_s: float) -> None:
-        """Take an upstream's word that it wants nothing from this router for some seconds."""
+        """Send an upstream nothing for some seconds, as it asked of this router."""
         now = trio.current_time()
         upstream = self._upstreams.by_name[name]
         until = now + min(rest_s, MAX_REST_S)
@@ -58,30 +58,32 @@
         upstream.resting_until = until
         self._on_change()
 
-    def apply_limit_update(self, news: LimitUpdate, heard_at: float) -> None:
-        """Take what another router tells of an upstream's limit."""
-        upstream = self._upstreams.by_name.get(news.upstream)
-        if upstream is None or upstream.instance.incarnation != news.incarnation:
+    def apply_limit_update(self, update: LimitUpdate, received_at: float) -> None:
+        """Apply what another router reports of an upstream's limit."""
+        upstream = self._upstreams.by_name.get(update.upstream)
+        if upstream is None or upstream.instance.incarnation != update.incarnation:
             return
         before = upstream.limit.per_s
-        if apply_update(upstream.limit, news, heard_at):
+        if apply_update(upstream.limit, update, received_at):
             self._log_limit(upstream, before, "router")
             self._on_change()
 
     def limit_updates(self) -> list[LimitUpdate]:
-        """Return what other routers are to be told of upstreams' limits."""
+        """Return the updates on upstreams' limits for other routers."""
         now = trio.current_time()
         known = self._upstreams.by_name.items()
-        told = [limit_update_for(u.limit, name, u.instance.incarnation, now) for name, u in known]
-        return [news for news in told if news is not None]
+        updates = [
+            limit_update_for(u.limit, name, u.instance.incarnation, now) for name, u in known
+        ]
+        return [update for update in updates if update is not None]
 
     @staticmethod
-    def _log_limit(upstream: Upstream, before: float, told_by: str) -> None:
+    def _log_limit(upstream: Upstream, before: float, source: str) -> None:
         limit = upstream.limit
         logger.bind(
             upstream=upstream.instance.name,
             incarnation=upstream.instance.incarnation,
             per_s=limit.per_s if limit.in_force else None,
             before=before if math.isfinite(before) else None,
-            told_by=told_by,
+            told_by=source,
         ).info("upstream-limit")
--- a/railtide/lanes/pool_upstreams.py
+++ b/railtide/lanes/pool_upstreams.py
@@ -1,4 +1,4 @@
-"""The upstreams of one pool as one router sees them: which of them may be sent new work now."""
+"""The upstreams of one pool as one router sees them: which of them accept a new request now."""
 
 import math
 from collections import Counter
@@ -12,18 +12,18 @@
 __all__ = ["PoolUpstreams", "Preference"]
 
 Preference = Callable[[Sequence[str]], frozenset[str]]
-"""Returns, of the names of upstreams, those at which a request had best run."""
+"""Returns, of the given names of upstreams, those at which a request should run if possible."""
 
 
 class PoolUpstreams:
-    """Keeps a pool's upstreams, and tells those that new work may be sent to.
+    """Holds the upstreams of a pool and selects those that a new request may be sent to.
 
     Parameters
     ----------
     urgent_share : int
-        One slot in so many is kept for urgent requests; 0 keeps none.
+        One in `urgent_share` slots is reserved for urgent requests; 0 reserves none.
     trusts_list : bool
-        Whether a list that lacks many reporting upstreams is believed all the same.
+        Whether a list is applied even if many upstreams that still report their load are missing.
 
     Attributes
     ----------
@@ -38,14 +38,14 @@
         self._is_listed = False
         self.admission = Admission()
 
-    # -- what is told of them -----------------------------------------------------------------
+    # -- updates ------------------------------------------------------------------------------
 
     def set_instances(self, instances: Sequence[Instance], now: float) -> None:
-        """Take the pool's instances; a new incarnation starts clean, an old one keeps its state.
+        """Set the pool's instances; a known incarnation keeps its state, a new one starts fresh.
 
-        A list that lacks at least half of the upstreams whose load reports are fresh is taken to
-        be wrong, unless the list is trusted: those are kept as long as they report. One that comes
-        to be listed later than the first ones is taken to have just started.
+        A list without at least half of the upstreams whose load reports are recent is assumed to
+        be wrong, unless lists are trusted: the missing ones stay as long as they report. An
+        upstream that is first listed after the first list is assumed to have just started.
         """
         by_name = self._reporting_but_unlisted({instance.name for instance in instances}, now)
         for instance in instances:
@@ -73,39 +73,39 @@
         return missing if len(missing) * 2 >= len(reporting) else {}
 
     def set_drained(self, domains: frozenset[str], now: float) -> None:
-        """Take the failure domains to whose upstreams nothing new is sent.
+        """Set the drained failure domains, whose upstreams are sent no new requests.
 
-        Where that ends they are taken to be cold: nobody used them meanwhile, and their own word of
-        it is some heartbeats old when it comes.
+        Upstreams whose drain ends are treated as cold: they were not used meanwhile, and their own
+        report of being cold arrives some heartbeats late.
         """
         ended = self.admission.set_drained(domains)
         for upstream in self.by_name.values():
             if upstream.instance.failure_domain in ended:
                 self.admission.mark_cold(upstream, now)
 
-    # -- which of them may be used ------------------------------------------------------------
+    # -- selection ----------------------------------------------------------------------------
 
     def usable(self, now: float) -> list[Upstream]:
-        """Return the upstreams that this router may send new work to, at once or in a while."""
+        """Return the upstreams that this router may send new requests to, now or later."""
         known = self.by_name.values()
         return [u for u in known if self.admission.available_at(u, now) < math.inf]
 
     def any_usable(self, now: float) -> bool:
-        """Return whether this router may send new work anywhere, at once or in a while."""
+        """Return whether this router may send new requests to any upstream, now or later."""
         known = self.by_name.values()
         return any(self.admission.available_at(u, now) < math.inf for u in known)
 
     def any_free(self, urgency: Urgency, now: float) -> bool:
-        """Return whether any upstream takes one more request now."""
+        """Return whether any upstream accepts one more request now."""
         return any(self.is_free(upstream, urgency, now) for upstream in self.by_name.values())
 
     def block_summary(self, now: float) -> str:
-        """Return how many upstreams are kept from this router's requests, by what keeps them."""
+        """Return, as text, how many upstreams this router may not send to, by reason."""
         holds = Counter(self.admission.block_reason(u, now) for u in self.by_name.values())
         return ", ".join(f"{holds[hold]} {hold}" for hold in BlockReason if holds[hold])
 
     def is_free(self, upstream: Upstream, urgency: Urgency, now: float) -> bool:
-        """Return whether an upstream takes one more request now."""
+        """Return whether an upstream accepts one more request now."""
         return self._has_slot(upstream, urgency) and now >= self.admission.available_at(
             upstream, now
         )
@@ -118,7 +118,7 @@
         return upstream.open_bulk < self.capacity(upstream, urgency)
 
     def capacity(self, upstream: Upstream, urgency: Urgency) -> int:
-        """Return the slots of an upstream that requests of a lane may take."""
+        """Return the number of slots of an upstream that requests of a lane may use."""
         slots = upstream.instance.slots
         if urgency is Urgency.URGENT or not self._urgent_share:
             return slots
@@ -131,45 +131,45 @@
         preference: Preference | None,
         now: float,
     ) -> list[Upstream]:
-        """Return where a request may go now, the best of them only.
+        """Return the upstreams that a request may be sent to now, only the most suitable ones.
 
         Parameters
         ----------
         urgency : Urgency
         avoid : frozenset of str
-            Upstreams at which it was tried before; others go first, in other failure domains.
+            Upstreams that were tried before; others are preferred, in other failure domains first.
         preference : callable or None
         now : float
         """
         open_now = [u for u in self.by_name.values() if now >= self.admission.available_at(u, now)]
         healthy = [upstream for upstream in open_now if not is_ejected(upstream, now)] or open_now
         free = [upstream for upstream in healthy if self._has_slot(upstream, urgency)]
-        fresh = [upstream for upstream in free if upstream.instance.name not in avoid]
+        untried = [upstream for upstream in free if upstream.instance.name not in avoid]
         if preference:
-            fresh = self._preferred(preference, self.usable(now), fresh, now) or fresh
-        return self._other_domains(fresh, avoid) or fresh or free
+            untried = self._preferred(preference, self.usable(now), untried, now) or untried
+        return self._other_domains(untried, avoid) or untried or free
 
     @staticmethod
     def _preferred(
-        preference: Preference, usable: list[Upstream], fresh: list[Upstream], now: float
+        preference: Preference, usable: list[Upstream], untried: list[Upstream], now: float
     ) -> list[Upstream]:
-        """Return where a request had best run, by a choice that all routers make alike."""
+        """Return the preferred upstreams of those that are free; all routers prefer the same."""
         names = [u.instance.name for u in usable if now >= u.crashed_until]
-        wanted = preference(names)
-        return [upstream for upstream in fresh if upstream.instance.name in wanted]
+        preferred = preference(names)
+        return [upstream for upstream in untried if upstream.instance.name in preferred]
 
-    def _other_domains(self, fresh: list[Upstream], avoid: frozenset[str]) -> list[Upstream]:
+    def _other_domains(self, untried: list[Upstream], avoid: frozenset[str]) -> list[Upstream]:
         if not avoid:
-            return fresh
+            return untried
         tried = {
             self.by_name[name].instance.failure_domain for name in avoid if name in self.by_name
         }
-        return [upstream for upstream in fresh if upstream.instance.failure_domain not in tried]
+        return [upstream for upstream in untried if upstream.instance.failure_domain not in tried]
 
-    # -- those that take few requests ---------------------------------------------------------
+    # -- paced upstreams ----------------------------------------------------------------------
 
     def next_free_at(self, now: float) -> float:
-        """Return when time alone frees the next upstream, infinite if it frees none."""
+        """Return when the passing of time frees the next upstream; infinite if it frees none."""
         times = [
             self.admission.next_check_at(upstream, now)
             for upstream in self.by_name.values()
@@ -178,15 +178,15 @@
         return min(times, default=math.inf)
 
     def served_per_s(self, urgency: Urgency, service_s: float, now: float) -> float:
-        """Return how many requests a second of a lane find a slot when all are taken.
+        """Return the throughput of a lane when all slots are in use, requests per second.
 
-        Upstreams that rest add nothing.
+        Resting upstreams don't count.
 
         Parameters
         ----------
         urgency : Urgency
         service_s : float
-            Usual seconds for which a request keeps its slot.
+            Average time for which a request holds its slot, seconds.
         now : float
         """
         served = 0.0
--- a/railtide/lanes/queue.py
+++ b/railtide/lanes/queue.py
@@ -1,4 +1,4 @@
-"""Waiting requests: urgent before bulk, and fair shares among accounts within a lane. Pure."""
+"""Queues of waiting requests: urgent before bulk, and fair queueing of accounts in a lane. Pure."""
 
 from abc import ABC, abstractmethod
 from dataclasses import dataclass, field
@@ -9,7 +9,7 @@
 
 
 class Urgency(IntEnum):
-    """Lanes, the most urgent first."""
+    """Priority lanes, the most urgent first."""
 
     URGENT = 0
     BULK = 1
@@ -17,16 +17,20 @@
 
 @dataclass(eq=False)
 class QueuedRequest:
-    """A request that waits.
+    """A request in a queue.
 
     Attributes
     ----------
-    account, weight
-        Whose share it uses, and how large that share is.
+    account : str
+        Account whose fair share the request uses.
+    weight : int
+        Weight of that account.
     cost : int
-        Units; what the share is counted in.
+        Units, in which shares are measured.
     finish_tag : float
-        Set by the queue.
+        Virtual finish time, set by the queue.
+    order : int
+        Order of arrival, set by the queue.
     """
 
     account: str
@@ -38,11 +42,11 @@
 
 
 class WaitingQueue(ABC):
-    """An order of waiting requests."""
+    """A queue of waiting requests with a lane for each urgency."""
 
     @abstractmethod
     def add(self, waiting: QueuedRequest) -> None:
-        """Put a request in."""
+        """Add a request."""
 
     @abstractmethod
     def peek(self, urgency: Urgency) -> QueuedRequest | None:
@@ -50,11 +54,11 @@
 
     @abstractmethod
     def last(self, urgency: Urgency) -> QueuedRequest | None:
-        """Return the request of a lane that is served after all others of it, or None."""
+        """Return the request of a lane that would be served last, or None."""
 
     @abstractmethod
     def remove(self, waiting: QueuedRequest) -> None:
-        """Take a request out; one that is not in is ignored."""
+        """Remove a request; does nothing if it isn't queued."""
 
     @abstractmethod
     def size(self, urgency: Urgency) -> int:
@@ -92,25 +96,25 @@
         self._order = count()
 
     def add(self, waiting: QueuedRequest) -> None:
-        """Put a request in; see `WaitingQueue.add`."""
+        """Add a request; see `WaitingQueue.add`."""
         lane = self._by_urgency[waiting.urgency]
         last = lane.last_finish_by_account.get(waiting.account, 0.0)
-        begin = max(lane.virtual_time, last)
-        waiting.finish_tag = begin + waiting.cost / waiting.weight
+        start_tag = max(lane.virtual_time, last)
+        waiting.finish_tag = start_tag + waiting.cost / waiting.weight
         waiting.order = next(self._order)
         lane.last_finish_by_account[waiting.account] = waiting.finish_tag
         lane.waiting.append(waiting)
 
     def peek(self, urgency: Urgency) -> QueuedRequest | None:
-        """Return the request with the least finish tag; see `WaitingQueue.peek`."""
+        """Return the request with the lowest finish tag; see `WaitingQueue.peek`."""
         return min(self._by_urgency[urgency].waiting, key=_service_order, default=None)
 
     def last(self, urgency: Urgency) -> QueuedRequest | None:
-        """Return the request with the greatest finish tag; see `WaitingQueue.last`."""
+        """Return the request with the highest finish tag; see `WaitingQueue.last`."""
         return max(self._by_urgency[urgency].waiting, key=_service_order, default=None)
 
     def remove(self, waiting: QueuedRequest) -> None:
-        """Take a request out; see `WaitingQueue.remove`."""
+        """Remove a request; see `WaitingQueue.remove`."""
         lane = self._by_urgency[waiting.urgency]
         if waiting not in lane.waiting:
             return
@@ -121,7 +125,7 @@
             lane.virtual_time = 0.0
 
     def size(self, urgency: Urgency) -> int:
-        """Return how many wait in a lane."""
+        """Return how many requests wait in a lane; see `WaitingQueue.size`."""
         return len(self._by_urgency[urgency].waiting)
 
 
@@ -130,13 +134,13 @@
 
 
 class Fifo(WaitingQueue):
-    """One queue in order of arrival, whatever the urgency; for comparison."""
+    """One first-in, first-out queue for all urgencies; for comparison in benchmarks."""
 
     def __init__(self) -> None:
         self._waiting: list[QueuedRequest] = []
 
     def add(self, waiting: QueuedRequest) -> None:
-        """Put a request in; see `WaitingQueue.add`."""
+        """Add a request; see `WaitingQueue.add`."""
         self._waiting.append(waiting)
 
     def peek(self, urgency: Urgency) -> QueuedRequest | None:
@@ -150,10 +154,10 @@
         return next((w for w in reversed(self._waiting) if w.urgency is urgency), None)
 
     def remove(self, waiting: QueuedRequest) -> None:
-        """Take a request out; see `WaitingQueue.remove`."""
+        """Remove a request; see `WaitingQueue.remove`."""
         if waiting in self._waiting:
             self._waiting.remove(waiting)
 
     def size(self, urgency: Urgency) -> int:
-        """Return how many of an urgency wait."""
+        """Return how many requests of an urgency wait; see `WaitingQueue.size`."""
         return sum(1 for waiting in self._waiting if waiting.urgency is urgency)
--- a/railtide/lanes/scheduler.py
+++ b/railtide/lanes/scheduler.py
@@ -1,7 +1,8 @@
-"""The scheduler of one pool: gives waiting requests their slot at an upstream.
+"""The scheduler of one pool: assigns waiting requests to slots at upstreams.
 
-Urgent requests go first and have slots at each upstream that bulk can't take. Waiting is bounded
-in number and by each request's goal and deadline; one that would wait past them is refused at once.
+Urgent requests are served first and have reserved slots at each upstream. The number of waiting
+requests is bounded, and each waits only while it can meet its goal and deadline; a request that
+would wait longer is refused at once.
 """
 
 import math
@@ -26,26 +27,32 @@
 MAX_WAITING = 512
 SERVICE_TIME_WEIGHT = 0.1
 FIRST_BYTE_STEP = 1.05
-"""Factor by which the usual time to an answer's beginning follows each answer."""
+"""Step factor of the running median of times to the first byte."""
 MIN_RETRY_AFTER_S = 0.5
 MAX_RETRY_AFTER_S = 30.0
 RETRY_WAIT_S = 0.05
-"""Longest wait of a retry for a slot when its goal can't be met any more."""
+"""Longest wait of a retry for a slot when its goal can no longer be met."""
 
 
 class WaitingRequest(QueuedRequest):
-    """A waiting request with its deadline, its affinity and the slot it is given.
+    """A request that waits for a slot.
 
     Attributes
     ----------
     goal_at : float
-        Trio time at which its answer should have begun; it waits while that can still be met.
+        Trio time by which its answer should begin; it waits only while that can be met.
+    avoid : frozenset of str
+        Upstreams at which it was tried before.
     preference : callable or None
-        Returns, of the names of upstreams, those at which it had best run.
+        Returns, of the given names of upstreams, those at which it should run if possible.
+    slot : Slot or None
+        Set when it is served.
+    woken : trio.Event
+        Set when its task must check its state again.
     until : float
-        Trio time up to which it waits.
+        Trio time until which it waits.
     refusal : LaneError or None
-        Set when it is known that it will not be served in time.
+        Set when it can't be served in time.
     """
 
     def __init__(
@@ -71,12 +78,12 @@
 
     @property
     def is_decided(self) -> bool:
-        """Whether it has its slot, or a refusal."""
+        """Whether it was given a slot or refused."""
         return self.slot is not None or self.refusal is not None
 
 
 class Slot:
-    """A request's place at an upstream."""
+    """A place for one request at an upstream."""
 
     def __init__(self, upstream: Upstream, urgency: Urgency, opened_at: float) -> None:
         self.upstream = upstream
@@ -88,24 +95,24 @@
 
 
 class PoolScheduler:
-    """Slots and waiting requests of one pool, in one router.
+    """Manages the slots and the waiting requests of one pool in one router.
 
     Parameters
     ----------
     choice : BalancingPolicy
     queue : WaitingQueue, optional
-        `FairLanes` unless given.
+        `FairLanes` by default.
     urgent_share : int
-        One slot in so many is kept for urgent requests; 0 keeps none.
+        One in `urgent_share` slots is reserved for urgent requests; 0 reserves none.
     max_waiting : int
-        Most requests waiting in a lane.
+        Maximum number of requests waiting in a lane.
     trusts_list : bool
-        Whether a list that lacks many reporting upstreams is believed all the same.
+        See `PoolUpstreams`.
 
     Attributes
     ----------
     notices : PoolNotices
-        Takes what upstreams say of themselves.
+        Applies what upstreams report in their answers.
     """
 
     def __init__(
@@ -133,25 +140,25 @@
         return self._upstreams.by_name
 
     def set_upstreams(self, instances: list[Instance]) -> None:
-        """Take the pool's instances; see `PoolUpstreams.set_instances`."""
+        """Set the pool's instances; see `PoolUpstreams.set_instances`."""
         self._upstreams.set_instances(instances, trio.current_time())
         self._on_capacity_change()
 
     def set_drained(self, domains: frozenset[str]) -> None:
-        """Take the failure domains to whose upstreams nothing new is sent."""
+        """Set the drained failure domains; see `PoolUpstreams.set_drained`."""
         self._upstreams.set_drained(domains, trio.current_time())
         self._on_capacity_change()
 
     def set_slow_start(self, slow_start: SlowStart, cold_interval_s: ColdInterval) -> None:
-        """Take what cold upstreams bear; see `Admission.set_slow_start`."""
+        """Set the rate that cold upstreams can serve; see `Admission.set_slow_start`."""
         self._upstreams.admission.set_slow_start(slow_start, cold_interval_s)
 
     def set_limit_shares(self, shares: LimitShares) -> None:
-        """Take this router's part of what upstreams with a limit are sent."""
+        """Set this router's shares of advertised limits; see `Admission.set_limit_shares`."""
         self._upstreams.admission.set_limit_shares(shares)
 
     def apply_load_report(self, name: str, report: LoadReport) -> None:
-        """Take an upstream's load report; leaving is sticky."""
+        """Apply an upstream's load report; once it reports leaving, it stays so."""
         upstream = self.by_name.get(name)
         if upstream is None:
             return
@@ -162,12 +169,12 @@
     # -- slots --------------------------------------------------------------------------------
 
     async def acquire(self, request: WaitingRequest) -> Slot:
-        """Return a slot, waiting in the request's lane.
+        """Return a slot, after waiting in the request's lane if necessary.
 
         Raises
         ------
         NoUpstream, QueueFull, DeadlineTooNear
-            At once where that is known at once.
+            The request can't be served in time; raised at once where that is known at once.
         """
         now = trio.current_time()
         request.until = self._wait_until(request, now)
@@ -184,11 +191,11 @@
             if request.refusal:
                 raise request.refusal
             retry_after = self.retry_after(request.urgency)
-            raise DeadlineTooNear("no slot came free in time", retry_after=retry_after)
+            raise DeadlineTooNear("no slot became free in time", retry_after=retry_after)
         return request.slot
 
     async def _wait(self, request: WaitingRequest) -> None:
-        """Wait for a slot; time alone frees an upstream that is cold or states a limit."""
+        """Wait for a slot; also wake when the interval of a paced upstream has passed."""
         self._waiting.add(request)
         try:
             while not request.is_decided and trio.current_time() < request.until:
@@ -202,7 +209,7 @@
             self._waiting.remove(request)
 
     async def reacquire(self, request: WaitingRequest, tried: Upstream) -> Slot:
-        """Return a slot for a retry, elsewhere and in another failure domain where possible."""
+        """Return a slot for a retry, if possible at another upstream in another failure domain."""
         request.slot = None
         request.refusal = None
         request.goal_at = max(
@@ -212,46 +219,46 @@
         return await self.acquire(request)
 
     def release(self, slot: Slot) -> None:
-        """Give a slot back; a second release is ignored."""
+        """Release a slot; releasing it again has no effect."""
         if slot.released:
             return
         slot.released = True
         self._count(slot, -1)
         slot.upstream.opened_at.remove(slot.opened_at)
         self.note_answer_started(slot)
-        took = trio.current_time() - slot.opened_at
-        self._service_s += SERVICE_TIME_WEIGHT * (took - self._service_s)
+        elapsed_s = trio.current_time() - slot.opened_at
+        self._service_s += SERVICE_TIME_WEIGHT * (elapsed_s - self._service_s)
         self._serve_waiting()
 
     def note_answer_started(self, slot: Slot) -> None:
-        """Record that the answer of a slot's request has begun: its prompt was read."""
+        """Record that the answer to a slot's request has begun, so its prompt is processed."""
         if not slot.answer_started:
             slot.answer_started = True
             self._update_first_byte_time(trio.current_time() - slot.opened_at)
         slot.upstream.prefill_load -= slot.prefill_load
         slot.prefill_load = 0.0
 
-    def _update_first_byte_time(self, took: float) -> None:
-        """Follow the median of the times that answers take to begin; timeouts move it little."""
+    def _update_first_byte_time(self, elapsed_s: float) -> None:
+        """Update the running median of times to the first byte; timeouts change it little."""
         if not self._first_byte_s:
-            self._first_byte_s = took
+            self._first_byte_s = elapsed_s
         else:
             self._first_byte_s *= (
-                FIRST_BYTE_STEP if took > self._first_byte_s else 1 / FIRST_BYTE_STEP
+                FIRST_BYTE_STEP if elapsed_s > self._first_byte_s else 1 / FIRST_BYTE_STEP
             )
 
     def note_stream(self, paused: bool) -> None:
-        """Take whether a stream that ended had a longer pause than its caller bears."""
+        """Record whether a finished stream paused for longer than its goal."""
         if self._choice.note_stream(paused, trio.current_time()):
             logger.bind(upstreams=len(self.by_name)).info("long-prompts-apart")
 
     def expected_wait(self, urgency: Urgency) -> float:
-        """Return how long a new request of a lane may wait, seconds."""
+        """Return the expected wait of a new request of a lane, seconds."""
         before = sum(self._queue.size(lane) for lane in Urgency if lane <= urgency)
         return self._expected_wait_after(before, urgency)
 
     def _expected_wait_after(self, before: int, urgency: Urgency) -> float:
-        """Return how long a request of a lane may wait that others are served before."""
+        """Return the expected wait of a request with `before` requests ahead of it, seconds."""
         now = trio.current_time()
         if self._upstreams.any_free(urgency, now) or not self._upstreams.any_usable(now):
             return 0.0
@@ -266,19 +273,19 @@
         return self._queue.size(urgency)
 
     def retry_after(self, urgency: Urgency) -> float:
-        """Return when a refused caller should come back, seconds."""
+        """Return after how many seconds a refused caller should retry."""
         wait = self.expected_wait(urgency)
         return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, wait))
 
     def retry_after_refusal(self, urgency: Urgency) -> float | None:
-        """Return when a caller should come back that an upstream refused; None for at any time."""
+        """Return after how many seconds to retry a refusal by an upstream; None for at once."""
         return self.retry_after(urgency) if self.expected_wait(urgency) else None
 
     def _wait_until(self, request: WaitingRequest, now: float) -> float:
         """Return until when a request waits for a slot.
 
-        Beyond that its answer would usually begin after its goal. A wait that ends without a slot
-        gains nothing and costs its caller that time; told at once, it can come back.
+        If it waited longer, its answer would usually begin after its goal. A caller that is
+        refused at once can retry, whereas a wait that ends without a slot only costs it time.
         """
         return min(request.deadline, max(request.goal_at - self._first_byte_s, now))
 
@@ -287,22 +294,26 @@
             raise self._no_usable_upstream(request.urgency)
         if self._queue.size(request.urgency) >= self._max_waiting:
             retry_after = self.retry_after(request.urgency)
-            raise QueueFull("the lane is full", retry_after=retry_after)
+            raise QueueFull(
+                "the lane has its maximum number of waiting requests", retry_after=retry_after
+            )
         if now + self.expected_wait(request.urgency) > request.until:
             raise self._wait_too_long(request.urgency)
 
     def _wait_too_long(self, urgency: Urgency) -> DeadlineTooNear:
-        text = self._with_block_summary("the lane's wait is past the goal")
-        return DeadlineTooNear(text, retry_after=self.retry_after(urgency))
+        message = self._with_block_summary(
+            "the expected wait exceeds the request's goal or deadline"
+        )
+        return DeadlineTooNear(message, retry_after=self.retry_after(urgency))
 
     def _no_usable_upstream(self, urgency: Urgency) -> NoUpstream:
-        text = self._with_block_summary("no upstream of the pool takes new work")
-        return NoUpstream(text, retry_after=self.retry_after(urgency))
+        message = self._with_block_summary("no upstream of the pool accepts new requests")
+        return NoUpstream(message, retry_after=self.retry_after(urgency))
 
-    def _with_block_summary(self, text: str) -> str:
-        """Return a refusal's text with what keeps upstreams from this router's requests."""
+    def _with_block_summary(self, message: str) -> str:
+        """Return a refusal's message with the reasons why upstreams are unavailable."""
         blocked = self._upstreams.block_summary(trio.current_time())
-        return f"{text}; of {len(self.by_name)} upstreams {blocked}" if blocked else text
+        return f"{message}; of {len(self.by_name)} upstreams {blocked}" if blocked else message
 
     def _abandon(self, request: WaitingRequest) -> None:
         self._queue.remove(request)
@@ -310,9 +321,10 @@
             self.release(request.slot)
 
     def _on_capacity_change(self) -> None:
-        """Serve what waits after a change of what the upstreams take, and refuse what can't be.
+        """Serve or refuse waiting requests after a change of what the upstreams accept.
 
-        The others are woken: time may free an upstream earlier than it did when they began to wait.
+        The remaining ones are woken, since an upstream may become free earlier than when they
+        began to wait.
         """
         self._serve_waiting()
         self._refuse_unservable()
@@ -329,21 +341,21 @@
                 pass
 
     def _refuse_all(self) -> None:
-        """Wake all that wait for upstreams of which none is left: to wait gains them nothing."""
+        """Refuse all waiting requests, because no upstream is left that could serve them."""
         for urgency in Urgency:
             while (request := self._queue.peek(urgency)) is not None:
                 self._refuse(request, self._no_usable_upstream(urgency))
 
     def _refuse(self, request: WaitingRequest, refusal: LaneError) -> None:
-        """Wake a request that waits in vain."""
+        """Refuse a waiting request and wake its task."""
         self._queue.remove(request)
         request.refusal = refusal
         request.woken.set()
 
     def _refuse_unservable(self) -> None:
-        """Refuse what can't be served in time any more, of each lane the last first.
+        """Refuse requests that can no longer be served in time, from the end of each lane.
 
-        After a loss of capacity: those that wait were let in by what there was before.
+        They were admitted by the capacity before a loss.
         """
         now = trio.current_time()
         for urgency in Urgency:
@@ -377,11 +389,11 @@
 
     @staticmethod
     def _add_prefill_load(slot: Slot, affinity: Affinity, now: float) -> None:
-        """Count the reading of a prompt: all of it where its prefix is not kept."""
+        """Add the load of processing a prompt; its prefix counts unless it is cached."""
         if not affinity.prefill_cost:
             return
-        kept = has_prefix(slot.upstream, affinity.key, now)
-        slot.prefill_load = affinity.prefill_cost + (0.0 if kept else affinity.prefix_cost)
+        cached = has_prefix(slot.upstream, affinity.key, now)
+        slot.prefill_load = affinity.prefill_cost + (0.0 if cached else affinity.prefix_cost)
         slot.upstream.prefill_load += slot.prefill_load
         note_prefix(slot.upstream, affinity.key, now)
 
--- a/railtide/upstreams/__init__.py
+++ b/railtide/upstreams/__init__.py
@@ -1,1 +1,1 @@
-"""Upstreams: engines and plain services, their load, and how they are called."""
+"""Upstreams: engines and plain services, their load and limits, balancing, and clients."""
--- a/railtide/upstreams/advertised_limit.py
+++ b/railtide/upstreams/advertised_limit.py
@@ -1,11 +1,12 @@
-"""The rate that an upstream in need states in its answers, as one router knows it. Pure.
+"""Rate limit that an overloaded upstream advertises in its answers, as a router knows it. Pure.
 
-The limit holds for all routers together, for as long as answers state it. Answers of several
-connections overtake one another, so one without a limit ends it only if its request was sent after
-the limit was last stated: it was certainly made later. The same goes for one that states more.
+The limit applies to all routers together, for as long as answers advertise it. Answers on several
+connections may overtake one another, so an answer without a limit ends it only if its request was
+sent after the limit was last advertised: only then is it certainly newer. The same applies to an
+answer with a higher limit.
 
-Routers tell one another what their own answers said, with its age: those that send an upstream
-nothing while it states a limit hear of the end from those that do.
+Routers share what their own answers advertised, with its age. So a router that sends an upstream
+nothing because of the limit learns that it has ended.
 """
 
 import math
@@ -24,26 +25,27 @@
 ]
 
 MIN_PER_S = 0.05
-"""A lower limit counts as this one: without any request nobody would learn that it has ended."""
+"""Lower limits are raised to this, since without requests no router would learn of the end."""
 UPDATE_PERIOD_S = 15.0
-"""How long a router tells others what its answers say after one that stated a limit or ended it."""
+"""How long a router shares its answers' limits after one that advertised a limit or ended it."""
 UPDATE_LAG_S = 3.0
-"""By how much news may be older than it says when it is read: the time to write and to read it."""
+"""How much older than its age field an update may be when it is read: it is written and read
+meanwhile."""
 MAX_PER_S = 1e9
-"""A higher limit is none, and no rate in a record."""
+"""Higher limits count as no limit, and are invalid in a record."""
 MAX_AGE_S = 60.0
-"""Beyond this a record's figure is no age of news."""
+"""Higher ages are invalid in a record."""
 NO_LIMIT = 0.0
 
 
 @dataclass(frozen=True)
 class LimitReport:
-    """What one answer of an upstream says of its limit.
+    """The limit that one answer of an upstream advertises.
 
     Attributes
     ----------
     per_s : float
-        Requests a second, of all routers together; infinite where the answer states no limit.
+        Requests per second of all routers together; infinite if the answer advertises no limit.
     sent_at : float
         Trio time at which the request was sent.
     """
@@ -53,16 +55,16 @@
 
 
 class LimitUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """What one router tells the others of an upstream's limit.
+    """What one router shares with the others of an upstream's limit.
 
     Attributes
     ----------
     upstream, incarnation : str
-        Name and life.
+        Name and incarnation of the upstream.
     per_s : float
-        Requests a second that an answer to this router stated, 0 for no limit any more.
+        Requests per second that an answer to this router advertised; 0 if the limit has ended.
     age_s : float
-        How long before the record that answer came.
+        Time from that answer to the writing of the record, seconds.
     """
 
     upstream: str
@@ -73,18 +75,18 @@
 
 @dataclass
 class AdvertisedLimit:
-    """The limit of one upstream.
+    """The limit of one upstream, as this router knows it.
 
     Attributes
     ----------
     per_s : float
-        Requests a second, of all routers together; infinite without a limit.
+        Requests per second of all routers together; infinite without a limit.
     advertised_at : float
-        Trio time of the last answer that stated no more than this, to any router.
+        Trio time of the last answer to any router that advertised no more than this.
     own_per_s, own_at : float
-        What the last answer to this router said, and when it came.
+        Limit in the last answer to this router, and the time at which it came.
     updates_until : float
-        Up to when others are told of it.
+        Until when this router shares it.
     """
 
     per_s: float = math.inf
@@ -95,12 +97,12 @@
 
     @property
     def in_force(self) -> bool:
-        """Whether the upstream takes only so many requests a second."""
+        """Whether the upstream limits the rate of requests."""
         return math.isfinite(self.per_s)
 
 
 def apply_report(limit: AdvertisedLimit, report: LimitReport, now: float) -> bool:
-    """Take what an answer says; return whether the limit changed.
+    """Apply the report of an answer; return whether the limit changed.
 
     Examples
     --------
@@ -129,7 +131,7 @@
 def limit_update_for(
     limit: AdvertisedLimit, upstream: str, incarnation: str, now: float
 ) -> LimitUpdate | None:
-    """Return what other routers are to be told of an upstream's limit, None for nothing.
+    """Return the update to share on an upstream's limit, or None if there is none.
 
     Examples
     --------
@@ -144,23 +146,23 @@
     return LimitUpdate(upstream, incarnation, per_s, round(now - limit.own_at, 2))
 
 
-def apply_update(limit: AdvertisedLimit, news: LimitUpdate, heard_at: float) -> bool:
-    """Take what another router tells, if it is certainly newer; return whether the limit changed.
+def apply_update(limit: AdvertisedLimit, update: LimitUpdate, received_at: float) -> bool:
+    """Apply another router's update if it is certainly newer; return whether the limit changed.
 
     Examples
     --------
     >>> limit = AdvertisedLimit()
-    >>> apply_update(limit, LimitUpdate("e1", "e1", 1.5, age_s=0.5), heard_at=10.0), limit.per_s
+    >>> apply_update(limit, LimitUpdate("e1", "e1", 1.5, age_s=0.5), received_at=10.0), limit.per_s
     (True, 1.5)
-    >>> apply_update(limit, LimitUpdate("e1", "e1", 0.0, age_s=0.5), heard_at=12.0), limit.per_s
+    >>> apply_update(limit, LimitUpdate("e1", "e1", 0.0, age_s=0.5), received_at=12.0), limit.per_s
     (False, 1.5)
-    >>> apply_update(limit, LimitUpdate("e1", "e1", 0.0, age_s=0.5), heard_at=13.5), limit.per_s
+    >>> apply_update(limit, LimitUpdate("e1", "e1", 0.0, age_s=0.5), received_at=13.5), limit.per_s
     (True, inf)
     """
-    at = heard_at - news.age_s
+    at = received_at - update.age_s
     if at - UPDATE_LAG_S < limit.advertised_at:
         return False
-    per_s = max(MIN_PER_S, news.per_s) if news.per_s else math.inf
+    per_s = max(MIN_PER_S, update.per_s) if update.per_s else math.inf
     changed = per_s != limit.per_s
     limit.per_s = per_s
     if limit.in_force or changed:
--- a/railtide/upstreams/balancing.py
+++ b/railtide/upstreams/balancing.py
@@ -1,4 +1,4 @@
-"""Which upstream a request goes to. Pure."""
+"""Load balancing: which upstream a request is sent to. Pure."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Sequence
@@ -24,18 +24,19 @@
 
 @dataclass(frozen=True)
 class Affinity:
-    """Which requests share a cached prefix, and what the cache is worth.
+    """Shared prefix of a prompt and the costs of processing it, in units of one request's load.
 
     Attributes
     ----------
     key : str
-        Equal for requests that share a prefix, empty for none.
+        Equal for requests that share a prefix; empty for none.
     prefix_cost : float
-        Requests by which an upstream with the prefix may be busier than another.
+        Cost of processing the prefix. An upstream that has it cached may be busier than another
+        by this load and still be preferred.
     prefill_cost : float
-        Requests that the reading of the rest of the prompt counts as, until the answer begins.
+        Cost of processing the rest of the prompt, until the answer begins.
     decode_cost : float
-        Requests that the making of the answer counts as, at its greatest size.
+        Cost of generating the answer, at its maximum size.
     """
 
     key: str = ""
@@ -45,68 +46,65 @@
 
     @property
     def total_cost(self) -> float:
-        """What the request asks of an upstream that keeps nothing of its prompt."""
+        """Cost of the request at an upstream that has nothing of its prompt cached."""
         return self.prefix_cost + self.prefill_cost + self.decode_cost
 
 
 class BalancingPolicy(ABC):
-    """A policy of choice among upstreams that have room."""
+    """Policy for choosing among upstreams that accept a request."""
 
     @abstractmethod
     def choose(self, candidates: Sequence[Upstream], affinity: Affinity, now: float) -> Upstream:
-        """Return one of the candidates, of which there is at least one.
-
-        `affinity` says which requests share a cached prefix.
-        """
+        """Return one of the candidates, of which there is at least one."""
 
     def note_stream(self, paused: bool, now: float) -> bool:
-        """Take whether a stream that ended had a longer pause than its caller bears.
+        """Record whether a finished stream paused for longer than its goal.
 
         Returns
         -------
         bool
-            Whether the policy chooses otherwise from now on.
+            Whether this changes how the policy chooses from now on.
         """
         return False
 
 
 class RandomChoice(BalancingPolicy):
-    """Any of them; for comparison."""
+    """Uniformly random choice; for comparison in benchmarks."""
 
     def __init__(self, rng: Random) -> None:
         self._rng = rng
 
     def choose(self, candidates: Sequence[Upstream], affinity: Affinity, now: float) -> Upstream:
-        """Return one at random."""
+        """Return a random candidate; see `BalancingPolicy.choose`."""
         return self._rng.choice(candidates)
 
 
 class RoundRobin(BalancingPolicy):
-    """Each in turn; for comparison."""
+    """Round-robin choice; for comparison in benchmarks."""
 
     def __init__(self) -> None:
         self._turn = count()
 
     def choose(self, candidates: Sequence[Upstream], affinity: Affinity, now: float) -> Upstream:
-        """Return the next in turn."""
+        """Return the next candidate in turn; see `BalancingPolicy.choose`."""
         return candidates[next(self._turn) % len(candidates)]
 
 
 class TwoChoices(BalancingPolicy):
-    """The less loaded of two drawn at random.
+    """The less loaded of two random candidates.
 
     References
     ----------
     M. Mitzenmacher, "The power of two choices in randomized load balancing", IEEE TPDS
-    12(10), 2001. On late reports two choices do better than the least loaded of all, which
-    herds.
+    12(10), 2001. With delayed load reports this does better than choosing the least loaded of
+    all, to which all routers would send at once (herd behaviour).
     """
 
     def __init__(self, rng: Random) -> None:
         self._rng = rng
 
     def choose(self, candidates: Sequence[Upstream], affinity: Affinity, now: float) -> Upstream:
-        """Return the less loaded of two."""
+        """Return the less loaded of two candidates; see `BalancingPolicy.choose`."""
         if len(candidates) == 1:
             return candidates[0]
         pair = self._rng.sample(list(candidates), 2)
@@ -114,14 +112,15 @@
 
 
 class PrefixAffinity(BalancingPolicy):
-    """An upstream that has the prefix, unless it is clearly busier than another policy's choice.
+    """Prefix-cache affinity: an upstream with the prefix, unless it is much busier than another.
 
     Parameters
     ----------
     other : BalancingPolicy
+        Chooses for requests without a prefix, or whose home upstreams are too busy.
     home_count : int
-        Upstreams that may keep one prefix: the first by rendezvous order, and the next ones
-        for what the first has no room for.
+        Number of home upstreams per prefix: the first in rendezvous order, then the next ones
+        for requests that the first is too busy for.
     """
 
     def __init__(self, other: BalancingPolicy, home_count: int = HOME_COUNT) -> None:
@@ -129,7 +128,7 @@
         self._home_count = home_count
 
     def choose(self, candidates: Sequence[Upstream], affinity: Affinity, now: float) -> Upstream:
-        """Return the first home that is not too busy, or the other policy's choice."""
+        """Return the first home upstream that is not too busy, or the other policy's choice."""
         other = self._other.choose(candidates, affinity, now)
         if not affinity.key:
             return other
--- a/railtide/upstreams/client.py
+++ b/railtide/upstreams/client.py
@@ -1,4 +1,4 @@
-"""How upstreams are called: the interface."""
+"""Interface for calling upstreams."""
 
 from abc import ABC, abstractmethod
 from collections.abc import AsyncIterator
@@ -24,10 +24,14 @@
 
 @dataclass(frozen=True)
 class UpstreamCall:
-    """A call as it goes to an upstream.
-
-    `rank` is its place in the upstream's own queue, 0 first; `resume_after` is the id of the last
-    event of its stream that the caller has.
+    """A call as it is sent to an upstream.
+
+    Attributes
+    ----------
+    rank : int
+        Priority in the upstream's own queue, 0 first.
+    resume_after : str
+        Id of the last event of its stream that the caller has received; empty for a new stream.
     """
 
     request_id: str
@@ -43,30 +47,30 @@
 
 
 class UpstreamAnswer(ABC):
-    """An answer whose head is there and whose body is yet to be read."""
+    """An answer whose head was received and whose body is still to be read."""
 
     status: int
     content_type: str
     request_id: str
     headers: Headers = ()
     framed = True
-    """Whether a length or a last chunk tells the end of the body; else the close does."""
+    """Whether a length or a last chunk marks the end of the body; otherwise the close does."""
 
     @abstractmethod
     def chunks(self) -> AsyncIterator[bytes]:
-        """Yield the body as it is read; raises `UpstreamLost` if it breaks off."""
+        """Yield the body as it is read; raise `UpstreamLost` if it breaks off."""
 
     def holds_another(self, body: bytes) -> bool:
-        """Return whether another answer to this request stands in a body that the close ended."""
+        """Return whether a body that the close ended contains another answer to this request."""
         return False
 
     @abstractmethod
     async def aclose(self) -> None:
-        """Let go of the connection."""
+        """Release the connection."""
 
 
 class RunState(StrEnum):
-    """What an upstream says of a request that it was sent before."""
+    """State of a request's run, as its upstream reports it."""
 
     DONE = "done"
     RUNNING = "running"
@@ -75,14 +79,14 @@
 
 
 class RunUsage(msgspec.Struct, frozen=True):
-    """Tokens that a run has used so far."""
+    """Numbers of tokens that a run has used so far."""
 
     prompt_tokens: int
     completion_tokens: int
 
 
 class RunReport(msgspec.Struct, frozen=True):
-    """What became of a request, in an upstream's own words."""
+    """What an upstream reports of a request's run; the field names are those on the wire."""
 
     state: RunState
     usage: RunUsage | None = None
@@ -92,35 +96,35 @@
 
 
 class UpstreamClient(ABC):
-    """A way to the upstreams."""
+    """Client for calling upstreams."""
 
     @abstractmethod
     async def open(self, upstream: Instance, call: UpstreamCall) -> UpstreamAnswer:
-        """Send a call and return its answer once the head is there.
+        """Send a call and return its answer once the head was received.
 
         Raises
         ------
         UpstreamRefused
-            It did not run.
+            The call did not run.
         UpstreamLost
-            It may have run.
+            The call may have run.
         """
 
-    def forget(self, upstream: Instance) -> None:  # noqa: B027 - one that keeps nothing has no work
-        """Let go of what is kept for a life of an upstream that is gone; calls go on."""
+    def forget(self, upstream: Instance) -> None:  # noqa: B027 - optional
+        """Release the resources kept for a lost incarnation of an upstream; open calls continue."""
 
     async def probe(self, upstream: Instance) -> ProbeResult:
-        """Return what a connection to an upstream's address finds, if this way can tell."""
+        """Return the result of connecting to an upstream's address, if the client can probe."""
         return ProbeResult.UNKNOWN
 
     @abstractmethod
     async def run_report(self, upstream: Instance, request_id: str) -> RunReport:
-        """Return what became of a request; raises `UpstreamLost` without an answer."""
+        """Return the report of a request's run; raise `UpstreamLost` without an answer."""
 
     @abstractmethod
     async def cancel(self, upstream: Instance, request_id: str) -> RunReport:
-        """Stop a request and return what it used; raises `UpstreamLost` without an answer."""
+        """Cancel a request and return the report of its run; raise `UpstreamLost` without one."""
 
     @abstractmethod
     async def load(self, upstream: Instance) -> LoadReport:
-        """Return an upstream's load report; raises `UpstreamLost` without one."""
+        """Return an upstream's load report; raise `UpstreamLost` without one."""
--- a/railtide/upstreams/errors.py
+++ b/railtide/upstreams/errors.py
@@ -15,14 +15,14 @@
 
 
 class UpstreamError(RailtideError):
-    """Base of the upstreams' errors."""
+    """Base of errors of calls to upstreams."""
 
     code = "upstream-error"
     status = 502
 
 
 class UpstreamRefused(UpstreamError):
-    """The call certainly did not run: no connection was made, or the upstream said so."""
+    """The call certainly did not run: no connection was made, or the upstream refused it."""
 
     code = "upstream-refused"
     status = 503
@@ -30,24 +30,24 @@
 
 
 class UpstreamNotListening(UpstreamRefused):
-    """Nothing listens at the upstream's address."""
+    """No process listens at the upstream's address."""
 
 
 class UpstreamMoved(UpstreamRefused):
-    """Another upstream has the address now; this one is gone."""
+    """Another upstream has the address now; this one no longer exists."""
 
     code = "upstream-moved"
 
 
 class UpstreamLost(UpstreamError):
-    """Bytes left for the upstream and no whole answer came back."""
+    """The call was sent, at least in part, and no complete answer came back."""
 
     code = "upstream-lost"
     run = Run.UNKNOWN
 
 
 class UpstreamDisconnected(UpstreamLost):
-    """The connection ended before a whole answer; the upstream may have ended, or not."""
+    """The connection ended before the answer was complete; the upstream may have crashed."""
 
 
 class UpstreamFailed(UpstreamLost):
@@ -56,17 +56,17 @@
     Parameters
     ----------
     answer : object
-        The whole answer, which the caller gets if no other upstream is tried.
+        The complete answer, which the caller gets if no other upstream is tried.
     """
 
     code = "upstream-failed"
 
     def __init__(self, answer: object) -> None:
-        super().__init__("the upstream answered that it failed")
+        super().__init__("the upstream answered with a server error")
         self.answer = answer
 
 
 class AnswerMismatch(UpstreamLost):
-    """The answer carries another request's id; it is dropped."""
+    """The answer carries the id of another request and is dropped."""
 
     code = "answer-mismatch"
--- a/railtide/upstreams/http_upstreams.py
+++ b/railtide/upstreams/http_upstreams.py
@@ -1,4 +1,4 @@
-"""Upstreams of the product's own interface, over HTTP."""
+"""Client for upstreams with railtide's own interface, over HTTP."""
 
 from collections.abc import AsyncIterator
 
@@ -50,7 +50,7 @@
 
 
 class HttpUpstreams(UpstreamClient):
-    """Upstreams over HTTP, with a client and so a small pool of connections for each."""
+    """Calls upstreams over HTTP, with one client and its connection pool per address."""
 
     def __init__(self) -> None:
         self._clients_by_address: dict[str, httpx.AsyncClient] = {}
@@ -75,7 +75,7 @@
         try:
             return await client.send(request, stream=True)
         except (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout) as err:
-            raise UpstreamRefused(f"no connection: {type(err).__name__}") from err
+            raise UpstreamRefused(f"no connection was made: {type(err).__name__}") from err
         except httpx.HTTPError as err:
             raise UpstreamLost(f"no answer: {type(err).__name__}") from err
 
@@ -84,11 +84,11 @@
         with trio.CancelScope(shield=True):
             await response.aclose()
         if response.headers.get(RUN) == NOT_RUN:
-            raise UpstreamRefused(f"the upstream refused with {response.status_code}")
-        raise UpstreamLost(f"the upstream failed with {response.status_code}")
+            raise UpstreamRefused(f"the upstream refused with status {response.status_code}")
+        raise UpstreamLost(f"the upstream failed with status {response.status_code}")
 
     async def run_report(self, upstream: Instance, request_id: str) -> RunReport:
-        """Ask what became of a request; see `UpstreamClient.run_report`."""
+        """Query the run of a request; see `UpstreamClient.run_report`."""
         return await self._ask_of_run(upstream, "GET", request_id)
 
     async def cancel(self, upstream: Instance, request_id: str) -> RunReport:
@@ -100,7 +100,7 @@
         try:
             return msgspec.json.decode(answer.content, type=RunReport)
         except msgspec.DecodeError as err:
-            raise UpstreamLost(f"the outcome can't be read: {err}") from err
+            raise UpstreamLost(f"the report of the run is malformed: {err}") from err
 
     async def load(self, upstream: Instance) -> LoadReport:
         """Read a load report; see `UpstreamClient.load`."""
@@ -108,7 +108,7 @@
         try:
             wire = msgspec.json.decode(answer.content, type=_WireLoad)
         except msgspec.DecodeError as err:
-            raise UpstreamLost(f"the load report can't be read: {err}") from err
+            raise UpstreamLost(f"the load report is malformed: {err}") from err
         return LoadReport(wire.running, wire.queued, wire.leaving, trio.current_time())
 
     async def _ask(self, upstream: Instance, method: str, path: str) -> httpx.Response:
--- a/railtide/upstreams/limit_shares.py
+++ b/railtide/upstreams/limit_shares.py
@@ -1,11 +1,12 @@
-"""How routers share the rate that an upstream states, without asking one another. Pure.
-
-Of the routers that callers come to, a few share it in equal parts; all routers work out the same
-ones. Each sends at a pace and saves nothing up, so that all of them together stay within the rate
-but for one request each. They hear of the limit's end from their own answers. Of a high rate the
-routers that nobody has come to yet have a small part too. All others send nothing. When no answer
-has told of the limit for long they ask for themselves, one after the other, so that an upstream is
-not given up where those that share it have no work for it.
+"""How routers share the rate limit that an upstream advertises, without coordination. Pure.
+
+Of the routers that callers use, a few share the limit equally; all routers compute the same ones.
+Each keeps a minimum interval between its requests, without bursts after idle time, so that
+together they exceed the limit by at most one request each. They learn from their own answers that
+the limit has ended. Of a high limit, idle routers get a small share too. All other routers send
+nothing. If no answer has mentioned the limit for a while, they probe the upstream with a request
+of their own, one router after the other, so that an upstream is not abandoned if the routers that
+share its limit have no requests for it.
 """
 
 import math
@@ -17,21 +18,22 @@
 __all__ = ["LimitShares", "limit_routers"]
 
 EXTRA_ROUTERS = 2
-"""Routers that share an upstream beyond one for each request a second. More of them serve callers
-of more routers where every upstream states a limit, and may send at the same moment."""
+"""Routers that share an upstream in addition to one per request per second of its limit. With more
+of them, more routers can serve callers when all upstreams advertise limits, but more of them may
+send at the same moment."""
 IDLE_SHARE = 0.1
-"""Part of the rate that is left to the routers that callers have not come to."""
+"""Share of the limit that is left to idle routers, which callers don't use yet."""
 MAX_IDLE_INTERVAL_S = 2.0
-"""They have none where it gives each of them less than a request in this time."""
+"""Idle routers get no share if each could send less than one request in this time."""
 PROBE_AFTER_S = 10.0
-"""How long no answer has told of a limit when the first router without a part asks for itself."""
+"""Time without an answer about the limit after which the first router without a share probes."""
 PROBE_STAGGER_S = 3.0
-"""From one such router's turn to the next one's: its answer has come by then, and another router's
-record that tells of it."""
+"""Time between the probes of two such routers: by then the answer to the first probe has come, and
+other routers have read of it in that router's record."""
 
 
 def limit_routers(upstream: str, routers: Sequence[str], per_s: float) -> list[str]:
-    """Return the routers that share what an upstream takes.
+    """Return the routers that share an upstream's limit.
 
     Examples
     --------
@@ -42,14 +44,14 @@
 
 
 class LimitShares:
-    """One router's part of what upstreams with a limit are sent.
+    """One router's shares of the limits that upstreams advertise.
 
     Parameters
     ----------
     own : str
         Name of this router.
     visits : callable
-        Returns which routers callers come to, as this one knows them.
+        Returns which routers callers use, as this router knows them.
 
     Examples
     --------
@@ -70,7 +72,7 @@
         self._pause_by_limit: dict[tuple[str, float], float] = {}
 
     def interval_s(self, upstream: str, per_s: float) -> float:
-        """Return the time between two requests of this router; infinite if others send them."""
+        """Return the minimum seconds between this router's requests; infinite without a share."""
         visits = self._visits()
         if visits is not self._known:
             self._known = visits
@@ -92,7 +94,7 @@
         return len(sharing) / shared if self._own in sharing else math.inf
 
     def probe_after_s(self, upstream: str, per_s: float) -> float:
-        """Return for how long nothing is heard of a limit before this router asks for itself."""
+        """Return after how many seconds without an answer about a limit this router probes."""
         known = self._visits()
         sharing = set(limit_routers(upstream, known.visited, per_s))
         others = {*known.visited, *known.idle} - sharing | {self._own}
--- a/railtide/upstreams/long_prompt_isolation.py
+++ b/railtide/upstreams/long_prompt_isolation.py
@@ -1,11 +1,10 @@
-"""Which upstreams read long prompts, and which ones the rest is sent to. Pure; times are passed in.
-
-An upstream reads a prompt in chunks between the tokens of its other requests, so a long prompt
-makes each stream beside it pause, and two of them at once make it pause for longer than callers
-bear. Weighing long prompts as more load does not help: with long prompts at every upstream there
-is nowhere to go. Of 14 streams of 4 s and 8 long prompts of 0.3 s a second at six upstreams, 16
-in 100 streams pause beside two prompts at once, and 3 in 100 with long prompts apart (a load played
-in `test_separation.py`).
+"""Sends long prompts to a subset of the upstreams, and other requests to the rest. Pure.
+An upstream processes a prompt in chunks between the tokens of its other requests, so a long prompt
+makes the concurrent streams pause, and two at once make them pause for longer than their goal.
+Counting long prompts as more load does not help: with long prompts at every upstream there is none
+to avoid them. With 14 streams of 4 s and 8 long prompts of 0.3 s per second at six upstreams, 16%
+of streams pause because of two prompts at once, and 3% with long prompts isolated (simulated in
+`test_long_prompt_isolation.py`).
 """
 
 import math
@@ -18,27 +17,27 @@
 __all__ = ["LongPromptIsolation", "long_prompt_upstreams"]
 
 LONG_PREFILL_COST = 10.0
-"""Requests that the reading of a prompt counts as from which on it is long: 100 ms, about a third
-of the shortest pause in a stream that callers take for late, for a stream of three tokens an event
-of which each may wait for a chunk."""
+"""Cost from which on a prompt is long, in requests. It takes 100 ms to process: about a third of
+the shortest pause that counts as late, since each of three tokens per event may wait for a chunk.
+"""
 WORK_WINDOW_S = 8.0
-"""Over which the work of both kinds is averaged: some hundred requests of a small pool, and short
-against the minutes in which a mix of requests changes."""
+"""Time constant for averaging the cost of both kinds of requests: about a hundred requests of a
+small pool, and short compared to the minutes in which the mix of requests changes."""
 STREAMS_WINDOW_S = 8.0
-"""Over which streams that paused are counted: two or three times what a stream lasts."""
+"""Time constant for counting streams that paused: two or three times the length of a stream."""
 MIN_PAUSED = 2.0
 PAUSED_SHARE = 0.05
-"""Streams that paused for too long, in number and as a part of all, from which on long prompts are
-kept apart. Apart they have fewer upstreams, so a pool whose streams do not suffer goes without."""
+"""Number and share of streams that paused too long, from which on long prompts are isolated.
+Isolation leaves them fewer upstreams, so pools whose streams are not affected do without it."""
 ISOLATION_S = 30.0
-"""How long they are kept apart after the last sign: while they are, there is none, and to try again
-costs the streams of some seconds."""
+"""How long isolation lasts after the last stream that paused too long. Isolation itself prevents
+such pauses, and ending it to try costs the streams of a few seconds."""
 ORDER_KEY = "long prompts"
-"""Upstreams are ranked by it, so that all routers choose the same ones without asking."""
+"""Key for ranking upstreams, so that all routers choose the same ones without coordination."""
 
 
 def long_prompt_upstreams(names: Sequence[str], share: float) -> set[str]:
-    """Return the upstreams that long prompts go to, at least one on either side.
+    """Return the upstreams for long prompts; at least one, and at least one is left for the rest.
 
     Examples
     --------
@@ -52,12 +51,12 @@
 
 
 class LongPromptIsolation(BalancingPolicy):
-    """Sends long prompts to a part of the upstreams as large as their part of the work.
+    """Sends long prompts to a share of the upstreams as large as their share of the total cost.
 
     Parameters
     ----------
     other : BalancingPolicy
-        Chooses within a part.
+        Chooses within a subset.
     """
 
     def __init__(self, other: BalancingPolicy) -> None:
@@ -71,7 +70,7 @@
         self._isolated_until = -math.inf
 
     def note_stream(self, paused: bool, now: float) -> bool:
-        """Count a stream; see `BalancingPolicy.note_stream`."""
+        """Record a finished stream; see `BalancingPolicy.note_stream`."""
         decay = math.exp((self._streams_updated_at - now) / STREAMS_WINDOW_S)
         self._streams_updated_at = now
         self._streams = self._streams * decay + 1
@@ -83,7 +82,7 @@
         return not was_isolated
 
     def choose(self, candidates: Sequence[Upstream], affinity: Affinity, now: float) -> Upstream:
-        """Return an upstream of the request's part."""
+        """Return an upstream of the request's subset; see `BalancingPolicy.choose`."""
         is_long = affinity.prefix_cost + affinity.prefill_cost >= LONG_PREFILL_COST
         self._add_work(affinity, is_long, now)
         if not affinity.prefill_cost or len(candidates) < 2 or now >= self._isolated_until:
@@ -91,7 +90,7 @@
         return self._other.choose(self._subset(candidates, is_long), affinity, now)
 
     def _add_work(self, affinity: Affinity, is_long: bool, now: float) -> None:
-        """Count the work of a request in the averages."""
+        """Add the cost of a request to the averages."""
         decay = math.exp((self._work_updated_at - now) / WORK_WINDOW_S)
         self._work_updated_at = now
         self._long_work *= decay
--- a/railtide/upstreams/notice.py
+++ b/railtide/upstreams/notice.py
@@ -1,4 +1,4 @@
-"""What one answer says of the upstream that gave it, whatever it says of the request."""
+"""What an answer reports about its upstream, apart from the request."""
 
 from dataclasses import dataclass
 
@@ -10,18 +10,18 @@
 
 @dataclass(frozen=True)
 class UpstreamNotice:
-    """The statements of an answer's head, decoded.
+    """Load, limit and state of an upstream, decoded from the head of one answer.
 
     Attributes
     ----------
     load : LoadReport or None
-        None where the answer tells none, or it can't be read.
+        None if the answer has none, or a malformed one.
     limit : LimitReport or None
-        None where what the answer states can't be read; a report of no limit where it states none.
+        None if it is malformed; a report without a limit if the answer has none.
     leaving : bool
-        Whether the upstream says that it leaves.
+        Whether the upstream is shutting down.
     rest_s : float or None
-        For how long it wants nothing from this router, None where it does not say.
+        Seconds for which it asks this router to send nothing; None if it doesn't ask.
     """
 
     load: LoadReport | None = None
--- a/railtide/upstreams/slow_start.py
+++ b/railtide/upstreams/slow_start.py
@@ -9,11 +9,17 @@
 It is not left without work: what it serves is service, and fills its cache.
 
 Notes
------
-While routers come and go, two routers may take different ones for those that share an upstream.
-Every one of both parties keeps to its pace, so twice the bound is sent at the most, for as long as
-their views differ.
-"""
+----"""Slow start: bounds the rate of all routers at an upstream that has just started. Pure.
+
+A cold upstream can serve a few requests per second and crashes under many more. Routers don't
+coordinate for it: each computes, from the routers that callers are sent to, which of them may send
+to the upstream and how often. Only a few routers share one upstream, so that the bound holds even
+if all of them send within the same second. Each of them keeps a minimum interval between its
+requests, without bursts after idle time. The other routers send nothing while it is cold.
+
+A cold upstream still gets requests, because it serves them and they fill its cache.
+
+Notes
 
 import math
 from collections.abc import Callable, Sequence
@@ -24,19 +30,19 @@
 __all__ = ["SlowStart", "SlowStartShares", "interval_s", "slow_start_routers"]
 
 INTERVAL_MARGIN = 1.01
-"""Requests a pause apart may arrive a little closer to one another than they were sent."""
+"""Requests may arrive slightly closer to one another than they were sent."""
 
 
 @dataclass(frozen=True)
 class SlowStart:
-    """What the upstreams of a pool bear while they are cold.
+    """Rate that the upstreams of a pool can serve while they are cold.
 
     Attributes
     ----------
     per_s : float
-        Requests a second, of all routers together; 0 where a start makes no difference.
+        Requests per second of all routers together; 0 for no bound.
     for_s : float
-        Seconds after a start for which an upstream is cold.
+        Seconds after its start for which an upstream is cold.
     """
 
     per_s: float = 0.0
@@ -44,7 +50,7 @@
 
 
 def slow_start_routers(upstream: str, routers: Sequence[str], per_s: float) -> list[str]:
-    """Return the routers that may send to a cold upstream: no more than it bears requests a second.
+    """Return the routers that may send to a cold upstream, at most one per request per second.
 
     Examples
     --------
@@ -58,7 +64,7 @@
 
 
 def interval_s(routers: int, per_s: float) -> float:
-    """Return the least time between two requests of one router to a cold upstream, seconds.
+    """Return the minimum seconds between two requests of one router to a cold upstream.
 
     Examples
     --------
@@ -73,14 +79,14 @@
 
 
 class SlowStartShares:
-    """One router's part of what cold upstreams are sent.
+    """One router's share of the rate of cold upstreams.
 
     Parameters
     ----------
     own : str
         Name of this router.
     routers : callable
-        Returns the names of the routers that callers are sent to, as this one knows them.
+        Returns the names of the routers that callers are sent to, as this router knows them.
 
     Examples
     --------
@@ -98,7 +104,7 @@
         self._pause_by_upstream: dict[str, float] = {}
 
     def interval_s(self, upstream: str, per_s: float) -> float:
-        """Return the time between two requests of this router; infinite if others send them."""
+        """Return the minimum seconds between this router's requests; infinite without a share."""
         routers = self._routers()
         if routers != self._known:
             self._known = routers
--- a/railtide/upstreams/tests/test_advertised_limit.py
+++ b/railtide/upstreams/tests/test_advertised_limit.py
@@ -76,17 +76,17 @@
 
     def test_own_answer_of_a_moment_ago_goes_first(self) -> None:
         limit = after((1.5, 0, 1), (NONE, 8, 9))
-        apply_update(limit, LimitUpdate("e", "e/1", 1.5, age_s=0.5), heard_at=11.0)
+        apply_update(limit, LimitUpdate("e", "e/1", 1.5, age_s=0.5), received_at=11.0)
         assert not limit.in_force
 
     def test_limit_that_others_tell_binds_a_router_that_was_told_nothing(self) -> None:
         limit = AdvertisedLimit()
-        assert apply_update(limit, LimitUpdate("e", "e/1", 1.5, age_s=0.5), heard_at=11.0)
+        assert apply_update(limit, LimitUpdate("e", "e/1", 1.5, age_s=0.5), received_at=11.0)
         assert limit.per_s == 1.5
 
     def test_only_own_answers_are_told_on(self) -> None:
         limit = AdvertisedLimit()
-        apply_update(limit, LimitUpdate("e", "e/1", 1.5, age_s=0.5), heard_at=11.0)
+        apply_update(limit, LimitUpdate("e", "e/1", 1.5, age_s=0.5), received_at=11.0)
         assert limit_update_for(limit, "e", "e/1", now=11.0) is None
 
     def test_end_soon_after_the_limit_was_stated_is_believed_in_time(self) -> None:
--- a/railtide/upstreams/upstream_state.py
+++ b/railtide/upstreams/upstream_state.py
@@ -1,4 +1,4 @@
-"""What a router believes of one upstream's load and health. Pure; times are passed in."""
+"""Load and health of one upstream, as a router sees them. Pure; times are passed in."""
 
 import math
 from dataclasses import dataclass, field
@@ -25,20 +25,20 @@
 MAX_EJECT_S = 30.0
 EJECT_AFTER = 2
 CRASHED_HOLD_S = 4.0
-"""How long a life is taken to have ended: the record of a silent upstream goes after 3.6 s. One
-that was taken for ended though it lives is used again then."""
+"""How long an incarnation is taken to have crashed: the record of an upstream that stopped sending
+heartbeats expires after 3.6 s. One that is still running is used again after this time."""
 PREFIX_RETENTION_S = 10.0
-"""How long an upstream is taken to keep a prefix that it was sent. One with room for 250,000 tokens
-that reads 20,000 new ones a second has dropped what was not used for some ten seconds."""
+"""How long an upstream is assumed to cache a prefix that it was sent. One with room for 250,000
+tokens that processes 20,000 new ones per second evicts what was unused for about ten seconds."""
 MAX_PREFIXES = 512
-"""Prefixes remembered of one upstream: more than its memory of some 300,000 tokens keeps."""
+"""Prefixes tracked per upstream: more than its cache of about 300,000 tokens can hold."""
 
 
 @dataclass(frozen=True)
 class LoadReport:
-    """An upstream's own word of its load, which is late.
+    """Load that an upstream reported, which is out of date by the time it is used.
 
-    `running` and `queued` count requests of all routers; `taken_at` is when it was read.
+    `running` and `queued` count the requests of all routers; `taken_at` is when it was read.
     """
 
     running: int
@@ -54,26 +54,30 @@
     Attributes
     ----------
     open_urgent, open_bulk : int
-        This router's requests open on it.
+        This router's open requests at the upstream.
     opened_at : list of float
         When those were opened, oldest first.
     leaving : bool
-        Sticky for this incarnation.
+        Whether it reported that it is leaving; never reset for an incarnation.
+    failures : int
+        Consecutive failures.
+    ejected_until : float
+        Until when it gets no new requests because of its failures.
     crashed_until : float
-        Until when this life is taken to have ended; its record goes by then.
+        Until when this incarnation is taken to have crashed; its record has expired by then.
     prefill_load : float
-        Requests that this router's prompts count as whose answers have not begun: an upstream
-        that reads long prompts makes all its others wait, and its reports say nothing of that.
+        Load of this router's prompts whose answers have not begun, in requests. An upstream that
+        processes long prompts delays all its other requests, which its reports don't show.
     prefix_sent_at : dict of str to float
         When this router last sent it a prompt with a prefix.
     cold_until : float
-        Until when it bears only a few requests a second.
+        Until when it can serve only a few requests per second.
     sent_at : float
         When this router last sent it a request.
     limit : AdvertisedLimit
-        What it says that it takes.
+        Rate limit that it advertises.
     resting_until : float
-        Until when it wants nothing from this router.
+        Until when it asked this router to send nothing.
     """
 
     instance: Instance
@@ -94,40 +98,40 @@
 
     @property
     def open_requests(self) -> int:
-        """This router's requests open on it."""
+        """This router's open requests at the upstream."""
         return self.open_urgent + self.open_bulk
 
 
 def is_leaving(upstream: Upstream) -> bool:
-    """Return whether no new work may go to it."""
+    """Return whether it is leaving and gets no new requests."""
     return upstream.leaving or upstream.instance.state is InstanceState.LEAVING
 
 
 def is_ejected(upstream: Upstream, now: float) -> bool:
-    """Return whether its failures keep new work away from it for now."""
+    """Return whether it gets no new requests for now because it failed or crashed."""
     return now < max(upstream.ejected_until, upstream.crashed_until)
 
 
 def is_cold(upstream: Upstream, now: float) -> bool:
-    """Return whether it has started so lately that it bears only a few requests a second."""
+    """Return whether it started so recently that it can serve only a few requests per second."""
     return now < upstream.cold_until
 
 
 def note_crash(upstream: Upstream, now: float) -> None:
-    """Record that this life has ended; it is not used until its record has gone.
+    """Record that this incarnation has crashed; it is not used until its record has expired.
 
-    Its record stays for seconds. Without this, one request after the other finds out that nobody
-    listens and takes a retry for it: of 30 in a row at one router 3 did so, and with it 1
+    Its record stays listed for seconds. Without this, request after request would try the address
+    and need a retry: 3 of 30 consecutive requests at one router did so, and with it 1
     (`test_address_where_nobody_listens_is_tried_once_while_it_is_listed`).
     """
     upstream.crashed_until = now + CRASHED_HOLD_S
 
 
 def estimated_load(upstream: Upstream, now: float) -> float:
-    """Return its load in requests.
+    """Return its estimated load in requests.
 
-    A fresh report plus what this router opened since; without one, this router's own requests.
-    The prompts that it still reads for this router count on top.
+    This is a recent load report plus the requests that this router opened since, or else this
+    router's own requests. The prompts of this router that it still processes are added.
     """
     report = upstream.report
     if report is None or now - report.taken_at > REPORT_MAX_AGE_S:
@@ -137,12 +141,12 @@
 
 
 def has_prefix(upstream: Upstream, key: str, now: float) -> bool:
-    """Return whether it was sent a prompt with this prefix lately."""
+    """Return whether it was sent a prompt with this prefix recently."""
     return now - upstream.prefix_sent_at.get(key, -math.inf) <= PREFIX_RETENTION_S
 
 
 def note_prefix(upstream: Upstream, key: str, now: float) -> None:
-    """Remember that it was sent a prompt with this prefix; the least recent ones are forgotten."""
+    """Record that it was sent a prompt with this prefix; the least recent ones are evicted."""
     upstream.prefix_sent_at.pop(key, None)
     upstream.prefix_sent_at[key] = now
     if len(upstream.prefix_sent_at) > MAX_PREFIXES:
@@ -150,7 +154,7 @@
 
 
 def note_failure(upstream: Upstream, now: float) -> None:
-    """Count a failure; from the second in a row on, eject for a growing time."""
+    """Count a failure; from the second in a row on, eject it for exponentially growing times."""
     upstream.failures += 1
     if upstream.failures >= EJECT_AFTER:
         exponent = min(upstream.failures - EJECT_AFTER, 16)
@@ -158,6 +162,6 @@
 
 
 def note_success(upstream: Upstream) -> None:
-    """Count a success."""
+    """Reset its failures after a success."""
     upstream.failures = 0
     upstream.ejected_until = 0.0
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -2588,8 +2588,8 @@
     Mutant(
         "refusal-does-not-say-what-holds",
         "lanes/scheduler.py",
-        'return f"{text}; of {len(self.by_name)} upstreams {blocked}" if blocked else text',
-        "return text",
+        'return f"{message}; of {len(self.by_name)} upstreams {blocked}" if blocked else message',
+        "return message",
         ("railtide/lanes/tests/test_admission.py",),
     ),
     Mutant(
