--- a/railtide/upstreams/slow_start.py
+++ b/railtide/upstreams/slow_start.py
@@ -1,15 +1,4 @@
-"""How much is sent to an upstream that has just started, by all routers together. Pure.
-
-A cold upstream bears some requests a second and ends under many more. The routers send to it
-without asking one another: each works out from the routers that callers are sent to which of them
-may, and how often. Few of them share one upstream, so that their requests stay within its bound
-also when all of them come within the same second, and each of them sends at a pace and saves
-nothing up. The others send it nothing while it is cold.
-
-It is not left without work: what it serves is service, and fills its cache.
-
-Notes
-----"""Slow start: bounds the rate of all routers at an upstream that has just started. Pure.
+"""Slow start: bounds the rate of all routers at an upstream that has just started. Pure.
 
 A cold upstream can serve a few requests per second and crashes under many more. Routers don't
 coordinate for it: each computes, from the routers that callers are sent to, which of them may send
@@ -20,6 +9,11 @@
 A cold upstream still gets requests, because it serves them and they fill its cache.
 
 Notes
+-----
+While routers join and leave, two routers may compute different sets of routers that share an
+upstream. Each router of both sets keeps its interval, so at most twice the bound is sent for as
+long as their views differ.
+"""
 
 import math
 from collections.abc import Callable, Sequence
