--- a/railtide/lanes/tests/test_admission.py
+++ b/railtide/lanes/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Tests of railtide.lanes.admission, and of what refusals say of it."""
+"""Tests of railtide.lanes.admission, and of the reasons in messages of refusals."""
 
 import math
 from random import Random
@@ -24,8 +24,8 @@
     return Upstream(instance, **{"sent_at": NOW - 0.1, **fields})
 
 
-class TestHolds:
-    def test_open_upstream_has_none(self) -> None:
+class TestBlockReason:
+    def test_available_upstream_has_no_block_reason(self) -> None:
         admission = Admission()
         assert admission.block_reason(upstream(), NOW) is None
         assert admission.available_at(upstream(), NOW) < NOW
@@ -58,14 +58,14 @@
         assert admission.block_reason(blocked, NOW) is hold
         assert admission.available_at(blocked, NOW) == pytest.approx(available_at)
 
-    def test_drain_of_its_domain_closes_it(self) -> None:
+    def test_drained_failure_domain_blocks_its_upstream(self) -> None:
         admission = Admission()
         assert admission.set_drained(frozenset({"a"})) == frozenset()
         assert admission.block_reason(upstream(), NOW) is BlockReason.DRAINED
         assert admission.set_drained(frozenset()) == frozenset({"a"})
         assert admission.block_reason(upstream(), NOW) is None
 
-    def test_upstream_that_others_are_to_send_to_never_opens(self) -> None:
+    def test_upstream_without_a_share_for_this_router_is_never_available(self) -> None:
         admission = Admission()
         admission.set_slow_start(SlowStart(2.0, 3.0), lambda name, per_s: math.inf)
         cold = upstream(cold_until=NOW + 9, sent_at=-math.inf)
@@ -73,7 +73,7 @@
 
 
 class TestRefusals:
-    async def test_they_say_what_kept_the_request_from_each_upstream(self, autojump_clock) -> None:
+    async def test_message_counts_unavailable_upstreams_by_reason(self, autojump_clock) -> None:
         scheduler = PoolScheduler(TwoChoices(Random(1)), urgent_share=0)
         made = [Instance(f"e{n}", f"e{n}", f"e{n}:1", "a", "engine", "p", 4) for n in range(4)]
         leaving = Instance("l", "l", "l:1", "a", "engine", "p", 4, state=InstanceState.LEAVING)
--- a/railtide/lanes/tests/test_scheduler.py
+++ b/railtide/lanes/tests/test_scheduler.py
@@ -36,10 +36,8 @@
     return WaitingRequest("a", Urgency.BULK, 1, 1, trio.current_time() + 60, affinity)
 
 
-class TestReading:
-    async def test_unread_prompts_count_as_load_until_their_answers_begin(
-        self, autojump_clock
-    ) -> None:
+class TestPrefillLoad:
+    async def test_prompt_counts_as_load_until_its_answer_begins(self, autojump_clock) -> None:
         scheduler = make("a")
         slot = await scheduler.acquire(long_prompt())
         assert scheduler.by_name["a"].prefill_load == 22
@@ -47,33 +45,35 @@
         scheduler.note_answer_started(slot)
         assert scheduler.by_name["a"].prefill_load == 0
 
-    async def test_kept_prefix_is_not_read_again(self, autojump_clock) -> None:
+    async def test_cached_prefix_adds_no_load(self, autojump_clock) -> None:
         scheduler = make("a")
         scheduler.release(await scheduler.acquire(long_prompt()))
         assert scheduler.by_name["a"].prefill_load == 0
         await scheduler.acquire(long_prompt())
         assert scheduler.by_name["a"].prefill_load == 7
 
-    async def test_prefix_is_taken_to_be_gone_after_a_while(self, autojump_clock) -> None:
+    async def test_prefix_counts_again_when_it_is_assumed_evicted(self, autojump_clock) -> None:
         scheduler = make("a")
         scheduler.release(await scheduler.acquire(long_prompt()))
         await trio.sleep(11)
         await scheduler.acquire(long_prompt())
         assert scheduler.by_name["a"].prefill_load == 22
 
-    async def test_next_request_goes_where_no_long_prompt_is_read(self, autojump_clock) -> None:
+    async def test_requests_avoid_an_upstream_that_processes_a_long_prompt(
+        self, autojump_clock
+    ) -> None:
         scheduler = make("a", "b", slots=8)
-        reading = await scheduler.acquire(long_prompt())
+        busy = await scheduler.acquire(long_prompt())
         others = [await scheduler.acquire(request()) for _ in range(3)]
-        assert reading.upstream not in [slot.upstream for slot in others]
+        assert busy.upstream not in [slot.upstream for slot in others]
 
 
 class TestWaiting:
-    """One upstream of four slots, answers that begin after 0.1 s and last 0.2 s."""
+    """One upstream with four slots; answers begin after 0.1 s and take 0.2 s."""
 
     @staticmethod
     async def _serve(scheduler: PoolScheduler, goal_s: float) -> float | None:
-        """Return when the answer began, seconds from the request; None if it was refused."""
+        """Return the seconds from the request to the answer's begin; None if it was refused."""
         came_at = trio.current_time()
         waiting = WaitingRequest(
             "a", Urgency.URGENT, 1, 1, came_at + 2, Affinity(), came_at + goal_s
@@ -110,16 +110,18 @@
                 await trio.sleep(rng.expovariate(30.0))
         assert len(served) > 0.6 * 1000
         assert sum(after <= 0.4 for after in served) > 0.97 * len(served)
-        learnt = refused_after_s[100:]
-        assert sum(after == 0 for after in learnt) > 0.9 * len(learnt)
+        after_warm_up = refused_after_s[100:]
+        assert sum(after == 0 for after in after_warm_up) > 0.9 * len(after_warm_up)
 
-    async def test_free_slot_is_given_even_behind_the_goal(self) -> None:
-        """On the real clock, which goes on between two looks at it."""
+    async def test_free_slot_is_assigned_even_after_the_goal(self) -> None:
+        """Uses the real clock, which advances between two readings."""
         scheduler = make("a")
         for _ in range(3):
             assert await self._serve(scheduler, goal_s=-1.0) is not None
 
-    async def test_few_time_outs_do_not_make_the_rest_be_refused(self, autojump_clock) -> None:
+    async def test_few_timeouts_do_not_raise_the_usual_first_byte_time(
+        self, autojump_clock
+    ) -> None:
         scheduler = make("a")
         for number in range(200):
             slot = await scheduler.acquire(request())
@@ -129,7 +131,7 @@
 
 
 class TestPoolScheduler:
-    async def test_bulk_leaves_slots_for_urgent(self, autojump_clock) -> None:
+    async def test_slots_are_reserved_for_urgent_requests(self, autojump_clock) -> None:
         scheduler = make("a")
         await fill(scheduler, 3)
         with pytest.raises(DeadlineTooNear):
@@ -190,7 +192,7 @@
     async def _wait_in_vain(self, scheduler: PoolScheduler) -> None:
         await scheduler.acquire(request())
 
-    async def test_leaving_upstream_gets_no_new_work(self, autojump_clock) -> None:
+    async def test_leaving_upstream_gets_no_new_requests(self, autojump_clock) -> None:
         scheduler = make("a", "b")
         scheduler.apply_load_report("a", LoadReport(0, 0, True, 0.0))
         scheduler.apply_load_report("a", LoadReport(0, 0, False, 1.0))
@@ -209,7 +211,9 @@
         again = await scheduler.reacquire(waiting, tried)
         assert again.upstream.instance.name == "b1"
 
-    async def test_list_that_lost_most_upstreams_is_not_believed(self, autojump_clock) -> None:
+    async def test_list_that_lacks_most_reporting_upstreams_is_not_applied(
+        self, autojump_clock
+    ) -> None:
         scheduler = make("a", "b", "c")
         for name in "abc":
             scheduler.apply_load_report(name, LoadReport(0, 0, False, trio.current_time()))
@@ -219,14 +223,14 @@
         scheduler.set_upstreams([])
         assert scheduler.by_name == {}
 
-    async def test_list_that_lost_one_upstream_is(self, autojump_clock) -> None:
+    async def test_list_that_lacks_one_upstream_is_applied(self, autojump_clock) -> None:
         scheduler = make("a", "b", "c")
         for name in "abc":
             scheduler.apply_load_report(name, LoadReport(0, 0, False, trio.current_time()))
         scheduler.set_upstreams(pool("a", "b"))
         assert set(scheduler.by_name) == {"a", "b"}
 
-    async def test_release_counts_once(self, autojump_clock) -> None:
+    async def test_second_release_has_no_effect(self, autojump_clock) -> None:
         scheduler = make("a")
         slot = await scheduler.acquire(request())
         scheduler.release(slot)
