--- a/railtide/lanes/tests/test_slow_start.py
+++ b/railtide/lanes/tests/test_slow_start.py
@@ -167,7 +167,7 @@
         assert refused.value.retry_after == pytest.approx(1.8)
 
 
-class TestWhoIsCold:
+class TestColdUpstreams:
     async def test_upstream_listed_after_the_first_list_is_cold(self, autojump_clock) -> None:
         fleet = Fleet(1, [engine("e1")])
         (scheduler,) = fleet.schedulers
--- a/railtide/requests/tests/test_answer_cache.py
+++ b/railtide/requests/tests/test_answer_cache.py
@@ -5,7 +5,7 @@
 
 
 class TestReplays:
-    def test_oldest_go_first(self) -> None:
+    def test_oldest_answers_are_evicted_first(self) -> None:
         answer_cache = AnswerCache(max_bytes=10)
         for key in "abc":
             answer_cache.keep("acc", key, 1, Answer(200, "", b"12345"))
--- a/railtide/requests/tests/test_answers.py
+++ b/railtide/requests/tests/test_answers.py
@@ -18,7 +18,7 @@
 
 class TestStreamChecker:
     @given(cuts=st.lists(st.integers(0, len(WHOLE) + len(END_MARK)), max_size=8))
-    def test_any_cut_of_the_bytes_gives_the_same_answer(self, cuts: list[int]) -> None:
+    def test_answer_does_not_depend_on_how_the_bytes_are_split(self, cuts: list[int]) -> None:
         data = WHOLE + END_MARK
         edges = sorted({0, len(data), *cuts})
         checker = StreamChecker("r1")
@@ -48,7 +48,7 @@
         checker.restart()
         assert checker.feed(WHOLE + END_MARK) == event(2) + event(3)
 
-    def test_events_without_a_place_are_counted(self) -> None:
+    def test_events_without_an_id_field_are_counted(self) -> None:
         checker = StreamChecker("r1")
         plain = b'data: {"id":"r1"}\n\n'
         checker.feed(plain * 2)
--- a/railtide/requests/tests/test_commit.py
+++ b/railtide/requests/tests/test_commit.py
@@ -48,7 +48,7 @@
 
 
 class Case:
-    """A cover with a writer whose verdicts the test gives."""
+    """A commit protocol with a writer whose verdicts are set by the test."""
 
     def __init__(self, key: str = "", exposure: int = 100) -> None:
         self.writer = Writer("h", lambda entry, trace: None)
@@ -75,13 +75,15 @@
         self.writer.take_verdict(Verdict(seq, code, 0, **more))
 
 
-class TestDeclare:
-    async def test_request_without_key_goes_before_its_intent(self, autojump_clock) -> None:
+class TestPrepare:
+    async def test_request_without_key_does_not_wait_for_its_intent(self, autojump_clock) -> None:
         case = Case()
         await case.commit.prepare()
         assert len(case.writer.pending()) == 1
 
-    async def test_above_the_exposure_it_waits_for_its_intent(self, autojump_clock) -> None:
+    async def test_request_above_the_exposure_limit_waits_for_its_intent(
+        self, autojump_clock
+    ) -> None:
         case = Case(exposure=0)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(case.commit.prepare)
@@ -89,7 +91,7 @@
             assert len(nursery.child_tasks) == 1
             case.decide()
 
-    async def test_key_waits_for_its_claim_and_learns_of_the_other(self, autojump_clock) -> None:
+    async def test_request_with_a_used_key_gets_the_stored_answer(self, autojump_clock) -> None:
         case = Case(key="k")
         answer = Answer(200, "", b"x")
         with pytest.raises(KnownAnswer) as known:
@@ -107,8 +109,10 @@
             await case.commit.prepare()
 
 
-class TestCheckFresh:
-    async def test_old_proof_of_a_durable_request_is_not_trusted(self, autojump_clock) -> None:
+class TestCheckOwnership:
+    async def test_durable_request_is_refused_after_an_old_confirmation(
+        self, autojump_clock
+    ) -> None:
         case = Case()
         await case.commit.prepare()
         case.decide()
@@ -117,7 +121,9 @@
         with pytest.raises(HolderFenced):
             case.commit.check_ownership()
 
-    async def test_new_proof_is(self, autojump_clock) -> None:
+    async def test_durable_request_is_allowed_after_a_new_confirmation(
+        self, autojump_clock
+    ) -> None:
         case = Case()
         await case.commit.prepare()
         case.decide()
@@ -127,15 +133,17 @@
         case.commit.check_ownership()
 
 
-class TestHold:
-    async def test_first_byte_waits_for_the_intent_within_bounds(self, autojump_clock) -> None:
+class TestWaitBeforeOutput:
+    async def test_first_byte_waits_for_the_intent_up_to_the_commit_wait(
+        self, autojump_clock
+    ) -> None:
         case = Case()
         await case.commit.prepare()
         began = trio.current_time()
         await case.commit.wait_before_first_byte()
         assert trio.current_time() - began == pytest.approx(OPTIONS.commit_wait_s, abs=0.1)
 
-    async def test_nothing_is_held_while_the_log_is_down(self, autojump_clock) -> None:
+    async def test_first_byte_does_not_wait_while_the_log_is_down(self, autojump_clock) -> None:
         case = Case()
         await case.commit.prepare()
         case.reachable = False
@@ -154,6 +162,8 @@
             (Code.KEY_USED, Outcome.DONE, AnswerGone),
         ],
     )
-    def test_says_what_is_known(self, code: str, outcome: str, error: type) -> None:
+    def test_raises_the_error_for_the_state_of_the_key(
+        self, code: str, outcome: str, error: type
+    ) -> None:
         with pytest.raises(error):
             answer_of_verdict(Verdict(1, code, 0, outcome=outcome))
--- a/railtide/requests/tests/test_recovery.py
+++ b/railtide/requests/tests/test_recovery.py
@@ -24,14 +24,14 @@
 
 
 class Case:
-    """A recovery at two upstreams that say what the test lists, the last word for ever."""
+    """A recovery with upstreams that return the listed reports, and then repeat the last one."""
 
-    def __init__(self, **words: list[RunReport | None]) -> None:
-        self.words = words
+    def __init__(self, **reports: list[RunReport | None]) -> None:
+        self.reports = reports
         self.records = []
         self.fenced = False
         scheduler = PoolScheduler(RoundRobin())
-        scheduler.set_upstreams([Instance(n, "1", n, "a", "engine", "p") for n in words])
+        scheduler.set_upstreams([Instance(n, "1", n, "a", "engine", "p") for n in reports])
         treasury = Treasury(self._open, lambda: True, lambda settings: 1)
         treasury.begin()
         self.recovery = Recovery(
@@ -50,11 +50,11 @@
         self.writer.take_verdict(Verdict(seq, Code.OK, 0, fenced=self.fenced))
 
     async def run_report(self, upstream: Instance, request_id: str) -> RunReport:
-        words = self.words[upstream.name]
-        word = words.pop(0) if len(words) > 1 else words[0]
-        if word is None:
+        reports = self.reports[upstream.name]
+        report = reports.pop(0) if len(reports) > 1 else reports[0]
+        if report is None:
             raise UpstreamLost
-        return word
+        return report
 
     async def bill(self, repeatable: bool = True) -> Bill:
         orphan = OrphanMessage("r", "acc", "p", 50, "", repeatable)
@@ -67,33 +67,37 @@
     async def test_finished_run_is_billed_at_its_cost(self, autojump_clock) -> None:
         assert await Case(e=[DONE]).bill() == Bill("r", 11)
 
-    async def test_running_one_is_waited_for(self, autojump_clock) -> None:
+    async def test_running_request_is_awaited(self, autojump_clock) -> None:
         running = RunReport(RunState.RUNNING)
         assert (await Case(e=[running, running, DONE]).bill()).cost == 11
 
-    async def test_unknown_one_is_not_run_only_after_the_window(self, autojump_clock) -> None:
+    async def test_unknown_request_is_not_run_only_after_the_dispatch_window(
+        self, autojump_clock
+    ) -> None:
         began = trio.current_time()
         bill = await Case(e=[UNKNOWN]).bill()
         assert (bill.cost, bill.outcome) == (0, Outcome.NOT_RUN)
         assert trio.current_time() - began > OPTIONS.dispatch_window_s
 
-    async def test_late_arrival_within_the_window_is_seen(self, autojump_clock) -> None:
+    async def test_request_that_arrives_within_the_window_is_found(self, autojump_clock) -> None:
         assert (await Case(e=[UNKNOWN, DONE]).bill()).outcome is Outcome.DONE
 
     async def test_call_that_may_not_be_repeated_stays_unknown(self, autojump_clock) -> None:
         bill = await Case(e=[UNKNOWN]).bill(repeatable=False)
         assert (bill.cost, bill.outcome) == (50, Outcome.UNKNOWN)
 
-    async def test_silent_upstream_is_taken_to_have_used_the_reserve(self, autojump_clock) -> None:
+    async def test_unresponsive_upstream_counts_as_having_used_the_reserve(
+        self, autojump_clock
+    ) -> None:
         bill = await Case(e=[UNKNOWN], dead=[None]).bill()
         assert (bill.cost, bill.wasted) == (0, 50)
 
-    async def test_other_tries_are_counted_as_waste(self, autojump_clock) -> None:
+    async def test_other_runs_are_counted_as_waste(self, autojump_clock) -> None:
         cancelled = RunReport(RunState.CANCELLED, RunUsage(3, 1))
         bill = await Case(e=[DONE], other=[cancelled]).bill()
         assert (bill.cost, bill.wasted) == (11, 5)
 
-    async def test_fenced_adopter_leaves_it_to_others(self, autojump_clock) -> None:
+    async def test_fenced_adopter_does_not_bill(self, autojump_clock) -> None:
         case = Case(e=[DONE])
         case.fenced = True
         assert await case.bill() == Adopt("r")
--- a/railtide/requests/tests/test_relay.py
+++ b/railtide/requests/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""Tests of railtide.requests.relay: what proves that an answer which is no stream is whole."""
+"""Tests of railtide.requests.relay: when an answer that is no stream counts as complete."""
 
 from collections.abc import AsyncIterator
 from types import SimpleNamespace
@@ -59,10 +59,10 @@
 
 
 class TestPricedByTheCall:
-    async def test_framed_answer_is_whole(self) -> None:
+    async def test_framed_answer_is_complete(self) -> None:
         assert (await relay(True)).unsent == b"body"
 
-    async def test_answer_that_ends_with_its_connection_is_not_kept(self) -> None:
-        """A cut body would be billed, and kept for each retry with the same key."""
+    async def test_answer_that_ends_with_its_connection_is_lost(self) -> None:
+        """A truncated body would be billed, and replayed to each retry with the same key."""
         with pytest.raises(UpstreamLost):
             await relay(False)
--- a/railtide/upstreams/tests/test_http_upstreams.py
+++ b/railtide/upstreams/tests/test_http_upstreams.py
@@ -20,7 +20,9 @@
             (b"connection: close\r\n\r\nok", False),
         ],
     )
-    async def test_answer_says_what_tells_its_end(self, framing: bytes, framed: bool) -> None:
+    async def test_answer_with_a_length_or_chunks_is_framed(
+        self, framing: bytes, framed: bool
+    ) -> None:
         async def answer(stream: trio.SocketStream) -> None:
             await stream.receive_some()
             await stream.send_all(b"HTTP/1.1 200 OK\r\n" + framing)
--- a/railtide/upstreams/tests/test_limit_shares.py
+++ b/railtide/upstreams/tests/test_limit_shares.py
@@ -1,4 +1,4 @@
-"""Tests of railtide.upstreams.limit_shares: what all routers together send under a limit."""
+"""Tests of railtide.upstreams.limit_shares: the rate of all routers together under a limit."""
 
 import math
 
@@ -22,7 +22,7 @@
 
 
 def allowed(per_s: float) -> float:
-    """Return the most requests within a window that the users allow."""
+    """Return the required upper bound of requests within a window."""
     return 1.5 * WINDOW_S * per_s + 5
 
 
@@ -30,54 +30,54 @@
     return max((sum(at <= t < at + WINDOW_S for t in times) for at in times), default=0)
 
 
-def visits_in(named: list[str]) -> Visits:
-    """Return that callers come to some of all routers."""
+def traffic_of(named: list[str]) -> Visits:
+    """Return that callers use the named ones of all routers."""
     return Visits(tuple(named), tuple(name for name in NAMES if name not in named))
 
 
-def pauses(named: list[str], per_s: float) -> list[float]:
-    """Return the pause of each router, named or not."""
-    visits = visits_in(named)
+def intervals(named: list[str], per_s: float) -> list[float]:
+    """Return the interval of each router, named or not."""
+    visits = traffic_of(named)
     return [LimitShares(r, lambda: visits).interval_s("e", per_s) for r in NAMES]
 
 
 class TestBound:
     @given(FLEETS, RATES, FIRSTS)
     @settings(max_examples=150, deadline=None)
-    def test_all_routers_together_keep_to_it(
+    def test_all_routers_together_respect_the_limit(
         self, named: list[str], per_s: float, firsts: list[float]
     ) -> None:
-        """Each with more work than it may send, from a moment of its own on."""
+        """Each router has more requests than it may send, and starts at a time of its own."""
         times: list[float] = []
-        for pause, first_at in zip(pauses(named, per_s), firsts, strict=True):
-            times += sends(pause, first_at, for_s=12.0)
+        for interval, first_at in zip(intervals(named, per_s), firsts, strict=True):
+            times += sends(interval, first_at, for_s=12.0)
         assert most_within_window(times) <= allowed(per_s)
 
     @given(FLEETS, RATES, st.sampled_from(NAMES))
     @settings(max_examples=150, deadline=None)
-    def test_they_keep_to_it_while_some_know_of_a_router_that_comes_or_goes(
+    def test_limit_is_respected_while_a_router_joins_or_leaves(
         self, named: list[str], per_s: float, changed: str
     ) -> None:
-        """Half of the routers know the fleet as it was before."""
+        """Half of the routers still have the former view of the fleet."""
         others = [name for name in named if name != changed]
         later = others if changed in named else [*named, changed]
-        both = [pauses(named, per_s), pauses(later, per_s)]
+        both = [intervals(named, per_s), intervals(later, per_s)]
         times: list[float] = []
         for place in range(len(NAMES)):
             times += sends(both[place % 2][place], 0.0, for_s=8.0)
         assert most_within_window(times) <= allowed(per_s)
 
     @given(st.integers(min_value=1, max_value=60), RATES)
-    def test_all_of_it_is_used(self, routers: int, per_s: float) -> None:
+    def test_limit_is_used_fully(self, routers: int, per_s: float) -> None:
         visits = Visits(tuple(f"r{n}" for n in range(routers)))
         parts = [LimitShares(r, lambda: visits).interval_s("e", per_s) for r in visits.visited]
-        sent_per_s = sum(1 / pause for pause in parts)
+        sent_per_s = sum(1 / interval for interval in parts)
         assert math.isclose(sent_per_s, per_s)
 
 
-class TestOthers:
-    def test_upstreams_are_shared_out_over_the_fleet(self) -> None:
-        """Of 20 routers none is left without a part of any of 40 upstreams."""
+class TestWithoutShare:
+    def test_upstreams_are_distributed_over_the_fleet(self) -> None:
+        """Each of 20 routers has a share of at least one of 40 upstreams."""
         parts = dict.fromkeys(NAMES[:20], 0)
         for number in range(40):
             for router in limit_routers(f"e{number}", NAMES[:20], per_s=1.5):
@@ -85,8 +85,8 @@
         assert sum(parts.values()) == 120
         assert min(parts.values()) >= 1 and max(parts.values()) <= 14
 
-    def test_those_without_a_part_ask_one_after_the_other(self) -> None:
-        visits = visits_in(NAMES[:5])
+    def test_routers_without_a_share_probe_one_after_the_other(self) -> None:
+        visits = traffic_of(NAMES[:5])
         waits = []
         for router in NAMES:
             shares = LimitShares(router, lambda: visits)
@@ -94,17 +94,17 @@
                 waits.append(shares.probe_after_s("e", 1.0))
         assert sorted(waits) == [PROBE_AFTER_S + PROBE_STAGGER_S * place for place in range(37)]
 
-    def test_router_that_knows_of_nobody_has_a_turn(self) -> None:
+    def test_router_that_knows_no_other_router_probes_first(self) -> None:
         shares = LimitShares("r1", Visits)
         assert math.isinf(shares.interval_s("e", 1.0))
         assert shares.probe_after_s("e", 1.0) == PROBE_AFTER_S
 
-    def test_router_that_has_a_part_since_a_moment_ago_has_the_first_turn(self) -> None:
-        """The fleet is looked at anew for each question."""
+    def test_router_with_a_new_share_probes_first(self) -> None:
+        """The view of the fleet is read again for each call."""
         shares = LimitShares("r1", lambda: Visits(("r1",)))
         assert shares.probe_after_s("e", 1.0) == PROBE_AFTER_S
 
-    def test_shares_follow_the_fleet(self) -> None:
+    def test_shares_are_updated_when_the_fleet_changes(self) -> None:
         known = [Visits(("r1", "r2")), Visits(("r1",))]
         shares = LimitShares("r1", lambda: known[0])
         assert shares.interval_s("e", 1.0) == 2.0
@@ -112,14 +112,14 @@
         assert shares.interval_s("e", 1.0) == 1.0
 
     @given(st.integers(min_value=1, max_value=39), st.floats(min_value=0.05, max_value=400.0))
-    def test_all_parts_together_are_no_more_than_the_limit(
-        self, visited: int, per_s: float
-    ) -> None:
-        sent_per_s = sum(1 / pause for pause in pauses(NAMES[:visited], per_s))
+    def test_all_shares_together_do_not_exceed_the_limit(self, visited: int, per_s: float) -> None:
+        sent_per_s = sum(1 / interval for interval in intervals(NAMES[:visited], per_s))
         assert sent_per_s < per_s or math.isclose(sent_per_s, per_s)
 
     @given(RATES, st.integers(min_value=1, max_value=39))
-    def test_idle_routers_have_a_part_of_a_high_rate_only(self, per_s: float, visited: int) -> None:
-        visits = visits_in(NAMES[:visited])
-        pause = LimitShares(NAMES[-1], lambda: visits).interval_s("e", per_s)
-        assert math.isfinite(pause) == (len(visits.idle) <= 0.2 * per_s)
+    def test_idle_routers_have_a_share_of_high_limits_only(
+        self, per_s: float, visited: int
+    ) -> None:
+        visits = traffic_of(NAMES[:visited])
+        interval = LimitShares(NAMES[-1], lambda: visits).interval_s("e", per_s)
+        assert math.isfinite(interval) == (len(visits.idle) <= 0.2 * per_s)
--- a/railtide/upstreams/tests/test_long_prompt_isolation.py
+++ b/railtide/upstreams/tests/test_long_prompt_isolation.py
@@ -1,4 +1,4 @@
-"""Tests of railtide.upstreams.long_prompt_isolation: what streams suffer beside long prompts."""
+"""Tests of railtide.upstreams.long_prompt_isolation: pauses of streams beside long prompts."""
 
 import heapq
 from dataclasses import dataclass, field
@@ -21,9 +21,9 @@
 
 @dataclass
 class Load:
-    """Streams of 4 s and long prompts of 0.3 s at some upstreams, in events on one clock.
+    """Event simulation of streams of 4 s and long prompts of 0.3 s at six upstreams.
 
-    A stream pauses for too long when two long prompts are read beside it at once.
+    A stream pauses for too long when its upstream processes two long prompts at once.
     """
 
     choice: BalancingPolicy
@@ -34,7 +34,7 @@
     ends: list[tuple[float, int, int, bool]] = field(default_factory=list)
 
     def play(self, seconds: float = 60.0, streams_s: float = 14.0, prompts_s: float = 8.0) -> None:
-        """Let requests come at random, so many a second of each kind."""
+        """Send requests at random times, at the given rates per second of each kind."""
         all_of = upstreams(6)
         reading = [0] * len(all_of)
         paused_at = [-1.0] * len(all_of)
@@ -68,7 +68,7 @@
 
 class TestLoad:
     @pytest.mark.parametrize("seed", range(3))
-    def test_few_streams_pause_beside_long_prompts(self, seed: int) -> None:
+    def test_isolation_reduces_streams_that_pause(self, seed: int) -> None:
         mixed = Load(PrefixAffinity(TwoChoices(Random(seed))), Random(seed))
         mixed.play()
         apart = Load(LongPromptIsolation(PrefixAffinity(TwoChoices(Random(seed)))), Random(seed))
@@ -84,13 +84,13 @@
         all_of = upstreams(6)
         return {choice.choose(all_of, affinity, now).instance.name for _ in range(60)}
 
-    def test_streams_that_do_not_pause_leave_all_to_everyone(self) -> None:
+    def test_without_pauses_all_requests_use_all_upstreams(self) -> None:
         choice = LongPromptIsolation(TwoChoices(Random(1)))
         for second in range(20):
             assert not choice.note_stream(False, float(second))
         assert len(self._chosen(choice, LONG, 20.0)) == 6
 
-    def test_two_routers_choose_the_same_upstreams(self) -> None:
+    def test_all_routers_isolate_at_the_same_upstreams(self) -> None:
         sides = []
         for seed in (1, 2):
             choice = LongPromptIsolation(TwoChoices(Random(seed)))
@@ -102,13 +102,13 @@
         assert sides[0] == sides[1]
         assert sides[0][0].isdisjoint(sides[0][1])
 
-    def test_is_tried_without_after_a_while(self) -> None:
+    def test_isolation_ends_after_a_while(self) -> None:
         choice = LongPromptIsolation(TwoChoices(Random(1)))
         for second in range(3):
             choice.note_stream(True, float(second))
         assert len(self._chosen(choice, LONG, 100.0)) == 6
 
-    def test_lost_upstream_moves_one_place_only(self) -> None:
+    def test_loss_of_an_upstream_changes_no_other_assignment(self) -> None:
         names = [f"e{n}" for n in range(6)]
         whole = long_prompt_upstreams(names, 0.5)
         for lost in names:
--- a/railtide/upstreams/tests/test_upstream_state.py
+++ b/railtide/upstreams/tests/test_upstream_state.py
@@ -20,11 +20,11 @@
 
 
 class TestEstimatedLoad:
-    def test_adds_what_was_opened_since_the_report(self) -> None:
+    def test_adds_requests_opened_since_the_report(self) -> None:
         made = upstream(opened_at=[1.0, 3.0], report=LoadReport(4, 2, False, 2.0))
         assert estimated_load(made, 3.5) == 7
 
-    def test_old_report_is_not_believed(self) -> None:
+    def test_old_report_is_ignored(self) -> None:
         made = upstream(open_bulk=1, report=LoadReport(40, 0, False, 0.0))
         assert estimated_load(made, REPORT_MAX_AGE_S + 1) == 1
 
@@ -42,14 +42,14 @@
 
 
 class TestBalancingPolicies:
-    def test_two_choices_takes_the_less_loaded(self) -> None:
+    def test_two_choices_prefer_the_less_loaded(self) -> None:
         idle, busy = upstream("idle"), upstream("busy", open_bulk=9)
         choice = TwoChoices(Random(1))
         assert {choice.choose([idle, busy], Affinity(), 0.0).instance.name for _ in range(9)} == {
             "idle"
         }
 
-    def test_affinity_holds_until_its_home_is_busier(self) -> None:
+    def test_affinity_uses_its_home_until_it_is_too_busy(self) -> None:
         pool = [upstream("e1"), upstream("e2"), upstream("e3")]
         choice = PrefixAffinity(TwoChoices(Random(1)))
         home = choice.choose(pool, Affinity("acc/prefix"), 0.0)
@@ -57,7 +57,7 @@
         home.open_bulk = 50
         assert choice.choose(pool, Affinity("acc/prefix"), 0.0) is not home
 
-    def test_busy_home_hands_over_to_the_next_one_always_the_same(self) -> None:
+    def test_busy_home_is_replaced_by_the_same_next_home(self) -> None:
         pool = [upstream(f"e{n}") for n in range(5)]
         choice = PrefixAffinity(TwoChoices(Random(1)))
         home = choice.choose(pool, Affinity("acc/prefix", 2.0), 0.0)
@@ -66,7 +66,7 @@
         chosen |= {choice.choose(pool, Affinity("acc/prefix", 2.0), 0.0).instance.name}
         assert len(chosen) == 1
 
-    def test_cheap_prefix_does_not_hold_where_it_is_busier(self) -> None:
+    def test_cheap_prefix_does_not_justify_a_busier_upstream(self) -> None:
         pool = [upstream("e1"), upstream("e2")]
         choice = PrefixAffinity(TwoChoices(Random(1)))
         home = choice.choose(pool, Affinity("acc/prefix", 0.5), 0.0)
