--- a/railtide/lanes/pool_upstreams.py
+++ b/railtide/lanes/pool_upstreams.py
@@ -49,15 +49,15 @@
         """
         by_name = self._reporting_but_unlisted({instance.name for instance in instances}, now)
         for instance in instances:
-            known = self.by_name.get(instance.name)
-            if known and known.instance.incarnation == instance.incarnation:
-                known.instance = instance
+            upstream = self.by_name.get(instance.name)
+            if upstream and upstream.instance.incarnation == instance.incarnation:
+                upstream.instance = instance
             else:
-                known = Upstream(instance)
+                upstream = Upstream(instance)
                 if self._is_listed:
-                    self.admission.mark_cold(known, now)
-            known.cold_until = max(known.cold_until, instance.warm_at)
-            by_name[instance.name] = known
+                    self.admission.mark_cold(upstream, now)
+            upstream.cold_until = max(upstream.cold_until, instance.warm_at)
+            by_name[instance.name] = upstream
         self.by_name = by_name
         self._is_listed = self._is_listed or bool(by_name)
 
@@ -69,7 +69,7 @@
             for name, upstream in self.by_name.items()
             if upstream.report and now - upstream.report.taken_at < REPORT_MAX_AGE_S
         }
-        missing = {name: known for name, known in reporting.items() if name not in listed}
+        missing = {name: upstream for name, upstream in reporting.items() if name not in listed}
         return missing if len(missing) * 2 >= len(reporting) else {}
 
     def set_drained(self, domains: frozenset[str], now: float) -> None:
@@ -87,13 +87,13 @@
 
     def usable(self, now: float) -> list[Upstream]:
         """Return the upstreams that this router may send new requests to, now or later."""
-        known = self.by_name.values()
-        return [u for u in known if self.admission.available_at(u, now) < math.inf]
+        upstreams = self.by_name.values()
+        return [u for u in upstreams if self.admission.available_at(u, now) < math.inf]
 
     def any_usable(self, now: float) -> bool:
         """Return whether this router may send new requests to any upstream, now or later."""
-        known = self.by_name.values()
-        return any(self.admission.available_at(u, now) < math.inf for u in known)
+        upstreams = self.by_name.values()
+        return any(self.admission.available_at(u, now) < math.inf for u in upstreams)
 
     def any_free(self, urgency: Urgency, now: float) -> bool:
         """Return whether any upstream accepts one more request now."""
--- a/railtide/lanes/scheduler.py
+++ b/railtide/lanes/scheduler.py
@@ -129,7 +129,7 @@
         self._queue = queue or FairLanes()
         self._max_waiting = max_waiting
         self._waiting: set[WaitingRequest] = set()
-        self._service_s = 0.0
+        self._mean_service_s = 0.0
         self._first_byte_s = 0.0
 
     # -- upstreams ----------------------------------------------------------------------------
@@ -227,7 +227,7 @@
         slot.upstream.opened_at.remove(slot.opened_at)
         self.note_answer_started(slot)
         elapsed_s = trio.current_time() - slot.opened_at
-        self._service_s += SERVICE_TIME_WEIGHT * (elapsed_s - self._service_s)
+        self._mean_service_s += SERVICE_TIME_WEIGHT * (elapsed_s - self._mean_service_s)
         self._serve_waiting()
 
     def note_answer_started(self, slot: Slot) -> None:
@@ -263,7 +263,7 @@
         if self._upstreams.any_free(urgency, now) or not self._upstreams.any_usable(now):
             return 0.0
         next_in_s = self._upstreams.next_free_at(now) - now
-        served_per_s = self._upstreams.served_per_s(urgency, self._service_s, now)
+        served_per_s = self._upstreams.served_per_s(urgency, self._mean_service_s, now)
         if not served_per_s:
             return next_in_s
         return before / served_per_s + min(1 / served_per_s, next_in_s)
--- a/railtide/lanes/tests/test_advertised_limits.py
+++ b/railtide/lanes/tests/test_advertised_limits.py
@@ -290,7 +290,7 @@
         (router,) = fleet.routers
         scheduler = router.scheduler
         taken = [await scheduler.acquire(waiting_for(30.0)) for _ in range(24)]
-        scheduler._service_s = 0.5
+        scheduler._mean_service_s = 0.5
         served: list[Urgency] = []
         refused: list[tuple[Urgency, float]] = []
 
@@ -321,7 +321,7 @@
         fleet = Fleet(1, 1, engines=2, rng=Random(1))
         scheduler = fleet.routers[0].scheduler
         taken = [await scheduler.acquire(waiting_for(30.0)) for _ in range(48)]
-        scheduler._service_s = 0.5
+        scheduler._mean_service_s = 0.5
         async with trio.open_nursery() as nursery:
             for _ in range(4):
                 nursery.start_soon(scheduler.acquire, waiting_for(2.0))
--- a/railtide/requests/answer_cache.py
+++ b/railtide/requests/answer_cache.py
@@ -17,7 +17,7 @@
         self._bytes = 0
         self._by_account_and_key: OrderedDict[tuple[str, str], tuple[int, Answer]] = OrderedDict()
 
-    def keep(self, account: str, key: str, digest: int, answer: Answer) -> None:
+    def put(self, account: str, key: str, digest: int, answer: Answer) -> None:
         """Store an answer, and evict the oldest ones beyond the size bound."""
         if len(answer.body) > self._max_bytes:
             return
--- a/railtide/requests/execution.py
+++ b/railtide/requests/execution.py
@@ -26,7 +26,7 @@
 from railtide.requests.messages import Answer, Bill, Outcome
 from railtide.requests.relay import Relayed
 from railtide.requests.services import Services
-from railtide.requests.usage import cancel_and_learn_cost
+from railtide.requests.usage import cancel_and_get_cost
 from railtide.telemetry.traceparent import traceparent_of
 from railtide.upstreams.client import UpstreamCall
 from railtide.upstreams.errors import (
@@ -80,7 +80,7 @@
         self._scheduler = scheduler
         self._services = services
         self._sink = sink
-        self._retries = services.retries_of(call.pool)
+        self._retries = services.retry_budget_of(call.pool)
         self._commit = services.make_commit(call, reservation, services)
         self._relay = services.make_relay(call, sink, services, self._before_first_byte)
         self._waiting = WaitingRequest(
@@ -224,12 +224,12 @@
     def _report_answer(self, upstream: Instance, relayed: Relayed) -> None:
         """Report an answer to the content guard; only a framed one is certainly complete."""
         sound = relayed.framed and relayed.answer.status == OK_STATUS
-        self._services.guard.note_answer(upstream, self._last_run(), sound)
+        self._services.guard.note_answer(upstream, self._last_attempt(), sound)
 
     def _cancel_scope(self) -> AbstractContextManager[trio.CancelScope]:
         return self._services.guard.running(self._call.content, lambda: self._relay.head_at)
 
-    def _last_run(self) -> UpstreamRun:
+    def _last_attempt(self) -> UpstreamRun:
         return UpstreamRun(self._call.content, self._sent_at, self._relay.head_at)
 
     async def _report_failed_attempt(self, upstream: Upstream, err: UpstreamError) -> None:
@@ -241,7 +241,7 @@
         if is_leaving(upstream) and not isinstance(err, UpstreamMoved):
             return
         guard = self._services.guard
-        await guard.note_failure(upstream.instance, self._last_run(), err)
+        await guard.note_failure(upstream.instance, self._last_attempt(), err)
         self._waiting.preference = guard.preference_of(self._call.content)
 
     def _report_stream_pauses(self) -> None:
@@ -252,14 +252,14 @@
 
     def _upstream_call(self, traceparent: str) -> UpstreamCall:
         call = self._call
-        left = max(0.0, call.deadline - trio.current_time())
+        remaining_s = max(0.0, call.deadline - trio.current_time())
         return UpstreamCall(
             call.request_id,
             call.method,
             call.path,
             call.content_type,
             call.body,
-            left,
+            remaining_s,
             traceparent,
             call.headers,
             call.rank,
@@ -299,11 +299,11 @@
             ) from err
         await self._check_quarantine()
         resumable = self._call.resumable and self._relay.resumable
-        begun = self._sink.started and not resumable
+        answer_begun = self._sink.started and not resumable
         attempt_limit = self._call.max_attempts or self._services.options.max_attempts
         send_limit = attempt_limit + self._services.options.max_extra_refusals
-        if begun or len(self._lost_attempts) >= attempt_limit or attempt >= send_limit:
-            self._log_not_retried("answer-begun" if begun else "tries-used")
+        if answer_begun or len(self._lost_attempts) >= attempt_limit or attempt >= send_limit:
+            self._log_not_retried("answer-begun" if answer_begun else "tries-used")
             raise err
         if not self._retries.try_spend():
             self._services.counters.add("retries_denied")
@@ -338,8 +338,8 @@
             self._services.counters.add("costs_above_reserve")
         cost = min(cost, self._call.reserve)
         self._reservation.settle(cost + wasted)
-        kept = answer if answer and self._is_stored_with_bill(answer) else None
-        record = Bill(self._call.request_id, cost, outcome, kept, wasted)
+        stored = answer if answer and self._is_stored_with_bill(answer) else None
+        record = Bill(self._call.request_id, cost, outcome, stored, wasted)
         self._bill = self._commit.bill(record)
 
     def _is_stored_with_bill(self, answer: Answer) -> bool:
@@ -349,7 +349,7 @@
     def _cache_answer(self, answer: Answer) -> None:
         call = self._call
         if call.key:
-            self._services.answer_cache.keep(call.account, call.key, call.digest, answer)
+            self._services.answer_cache.put(call.account, call.key, call.digest, answer)
 
     def _on_bill_decided(self, verdict: Verdict) -> None:
         """Record as waste what ran after another router had settled the request as not run."""
@@ -392,6 +392,6 @@
 
     async def _cancel_and_measure(self, upstream: Instance) -> int:
         call = self._call
-        return await cancel_and_learn_cost(
+        return await cancel_and_get_cost(
             self._services.upstreams, upstream, call.request_id, call.prices, call.reserve
         )
--- a/railtide/requests/recovery.py
+++ b/railtide/requests/recovery.py
@@ -56,17 +56,17 @@
         self._upstreams = upstreams
         self._options = options
         self._counters = counters
-        self._under_way: set[str] = set()
+        self._in_progress: set[str] = set()
 
     async def recover(self, orphan: OrphanMessage) -> None:
         """Adopt an orphan and settle it; return at once if another task here is doing so."""
-        if orphan.request_id in self._under_way:
+        if orphan.request_id in self._in_progress:
             return
-        self._under_way.add(orphan.request_id)
+        self._in_progress.add(orphan.request_id)
         try:
             await self._adopt_and_settle(orphan)
         finally:
-            self._under_way.discard(orphan.request_id)
+            self._in_progress.discard(orphan.request_id)
 
     async def _adopt_and_settle(self, orphan: OrphanMessage) -> None:
         """Settle an orphan as this holder; if the holder is fenced meanwhile, another adopts it."""
--- a/railtide/requests/services.py
+++ b/railtide/requests/services.py
@@ -28,7 +28,7 @@
     ----------
     log_reachable : callable
         Returns whether the log can make entries durable now.
-    retries_of : callable
+    retry_budget_of : callable
         Returns the retry budget of a pool.
     extend : callable
         Adds to a reservation; see `Treasury.extend`.
@@ -43,7 +43,7 @@
 
     upstreams: UpstreamClient
     options: RequestOptions
-    retries_of: Callable[[str], RetryBudget]
+    retry_budget_of: Callable[[str], RetryBudget]
     answer_cache: AnswerCache
     counters: Counters
     log_reachable: Callable[[], bool]
--- a/railtide/requests/usage.py
+++ b/railtide/requests/usage.py
@@ -5,7 +5,7 @@
 from railtide.upstreams.client import RunReport, RunState, UpstreamClient
 from railtide.upstreams.errors import UpstreamError
 
-__all__ = ["cancel_and_learn_cost", "cost_of_run"]
+__all__ = ["cancel_and_get_cost", "cost_of_run"]
 
 
 def cost_of_run(prices: Prices, run: RunReport, reserve: int) -> int:
@@ -26,7 +26,7 @@
     return min(reserve, cost_of(prices, usage))
 
 
-async def cancel_and_learn_cost(
+async def cancel_and_get_cost(
     upstreams: UpstreamClient,
     upstream: Instance,
     request_id: str,
