--- a/railtide/lanes/pool_upstreams.py
+++ b/railtide/lanes/pool_upstreams.py
@@ -49,15 +49,15 @@
         """
         by_name = self._reporting_but_unlisted({instance.name for instance in instances}, now)
         for instance in instances:
-            upstream = self.by_name.get(instance.name)
-            if upstream and upstream.instance.incarnation == instance.incarnation:
-                upstream.instance = instance
+            current = self.by_name.get(instance.name)
+            if current and current.instance.incarnation == instance.incarnation:
+                current.instance = instance
             else:
-                upstream = Upstream(instance)
+                current = Upstream(instance)
                 if self._is_listed:
-                    self.admission.mark_cold(upstream, now)
-            upstream.cold_until = max(upstream.cold_until, instance.warm_at)
-            by_name[instance.name] = upstream
+                    self.admission.mark_cold(current, now)
+            current.cold_until = max(current.cold_until, instance.warm_at)
+            by_name[instance.name] = current
         self.by_name = by_name
         self._is_listed = self._is_listed or bool(by_name)
 
@@ -69,7 +69,7 @@
             for name, upstream in self.by_name.items()
             if upstream.report and now - upstream.report.taken_at < REPORT_MAX_AGE_S
         }
-        missing = {name: upstream for name, upstream in reporting.items() if name not in listed}
+        missing = {name: current for name, current in reporting.items() if name not in listed}
         return missing if len(missing) * 2 >= len(reporting) else {}
 
     def set_drained(self, domains: frozenset[str], now: float) -> None:
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -2344,7 +2344,7 @@
     Mutant(
         "record-of-a-cold-upstream-passed-over",
         "lanes/pool_upstreams.py",
-        "            upstream.cold_until = max(upstream.cold_until, instance.warm_at)\n",
+        "            current.cold_until = max(current.cold_until, instance.warm_at)\n",
         "",
         (SLOW_START,),
     ),
