--- a/railtide/lanes/admission.py
+++ b/railtide/lanes/admission.py
@@ -118,9 +118,9 @@
 
     def _limit_interval_s(self, upstream: Upstream, now: float) -> float:
         name, per_s = upstream.instance.name, upstream.limit.per_s
-        pause = self._limit_shares.interval_s(name, per_s)
-        if math.isfinite(pause):
-            return pause
+        interval = self._limit_shares.interval_s(name, per_s)
+        if math.isfinite(interval):
+            return interval
         unheard_s = now - max(upstream.limit.advertised_at, upstream.sent_at)
         if unheard_s < PROBE_AFTER_S:
             return math.inf
--- a/railtide/requests/answers.py
+++ b/railtide/requests/answers.py
@@ -98,7 +98,7 @@
             self.repeats += 1
             return False
         if number > self.events:
-            raise UpstreamLost(f"event {self.events} of the stream is missing: got {number}")
+            raise UpstreamLost("an event of the stream is missing")
         self.events += 1
         if _USAGE in event:
             self.usage = _decode(event[event.index(_DATA) + len(_DATA) :]).usage
--- a/railtide/requests/event_stream.py
+++ b/railtide/requests/event_stream.py
@@ -94,9 +94,7 @@
         """
         follows = not self.last_id or _follows(event_id, self.last_id)
         if self._is_resuming and self._ids_sequential and not follows:
-            raise UpstreamLost(
-                f"the resumed stream skips events: {event_id} follows {self.last_id}"
-            )
+            raise UpstreamLost("the resumed stream skips an event after the last one passed on")
         self._is_resuming = False
         self._ids_sequential = self._ids_sequential and follows
 
--- a/railtide/upstreams/client.py
+++ b/railtide/upstreams/client.py
@@ -110,7 +110,7 @@
             The call may have run.
         """
 
-    def forget(self, upstream: Instance) -> None:  # noqa: B027 - optional
+    def forget(self, upstream: Instance) -> None:  # noqa: B027 - optional to override
         """Release the resources kept for a lost incarnation of an upstream; open calls continue."""
 
     async def probe(self, upstream: Instance) -> ProbeResult:
--- a/railtide/upstreams/limit_shares.py
+++ b/railtide/upstreams/limit_shares.py
@@ -68,23 +68,23 @@
     def __init__(self, own: str, visits: Callable[[], Visits]) -> None:
         self._own = own
         self._visits = visits
-        self._known = Visits()
-        self._pause_by_limit: dict[tuple[str, float], float] = {}
+        self._known_traffic = Visits()
+        self._interval_by_limit: dict[tuple[str, float], float] = {}
 
     def interval_s(self, upstream: str, per_s: float) -> float:
         """Return the minimum seconds between this router's requests; infinite without a share."""
         visits = self._visits()
-        if visits is not self._known:
-            self._known = visits
-            self._pause_by_limit.clear()
+        if visits is not self._known_traffic:
+            self._known_traffic = visits
+            self._interval_by_limit.clear()
         limit = (upstream, per_s)
-        pause = self._pause_by_limit.get(limit)
-        if pause is None:
-            pause = self._pause_by_limit[limit] = self._compute_interval_s(upstream, per_s)
-        return pause
+        interval = self._interval_by_limit.get(limit)
+        if interval is None:
+            interval = self._interval_by_limit[limit] = self._compute_interval_s(upstream, per_s)
+        return interval
 
     def _compute_interval_s(self, upstream: str, per_s: float) -> float:
-        visited, idle = self._known.visited, self._known.idle
+        visited, idle = self._known_traffic.visited, self._known_traffic.idle
         idle_interval_s = len(idle) / (IDLE_SHARE * per_s)
         has_idle_share = 0 < idle_interval_s <= MAX_IDLE_INTERVAL_S
         if self._own in idle:
--- a/railtide/upstreams/long_prompt_isolation.py
+++ b/railtide/upstreams/long_prompt_isolation.py
@@ -20,7 +20,7 @@
 """Cost from which on a prompt is long, in requests. It takes 100 ms to process: about a third of
 the shortest pause that counts as late, since each of three tokens per event may wait for a chunk.
 """
-WORK_WINDOW_S = 8.0
+COSTS_WINDOW_S = 8.0
 """Time constant for averaging the cost of both kinds of requests: about a hundred requests of a
 small pool, and short compared to the minutes in which the mix of requests changes."""
 STREAMS_WINDOW_S = 8.0
@@ -61,11 +61,11 @@
 
     def __init__(self, other: BalancingPolicy) -> None:
         self._other = other
-        self._long_work = 0.0
-        self._short_work = 0.0
-        self._work_updated_at = -math.inf
-        self._streams = 0.0
-        self._paused = 0.0
+        self._long_cost = 0.0
+        self._short_cost = 0.0
+        self._costs_updated_at = -math.inf
+        self._stream_count = 0.0
+        self._paused_count = 0.0
         self._streams_updated_at = -math.inf
         self._isolated_until = -math.inf
 
@@ -73,9 +73,9 @@
         """Record a finished stream; see `BalancingPolicy.note_stream`."""
         decay = math.exp((self._streams_updated_at - now) / STREAMS_WINDOW_S)
         self._streams_updated_at = now
-        self._streams = self._streams * decay + 1
-        self._paused = self._paused * decay + paused
-        if self._paused < max(MIN_PAUSED, self._streams * PAUSED_SHARE):
+        self._stream_count = self._stream_count * decay + 1
+        self._paused_count = self._paused_count * decay + paused
+        if self._paused_count < max(MIN_PAUSED, self._stream_count * PAUSED_SHARE):
             return False
         was_isolated = now < self._isolated_until
         self._isolated_until = now + ISOLATION_S
@@ -84,26 +84,32 @@
     def choose(self, candidates: Sequence[Upstream], affinity: Affinity, now: float) -> Upstream:
         """Return an upstream of the request's subset; see `BalancingPolicy.choose`."""
         is_long = affinity.prefix_cost + affinity.prefill_cost >= LONG_PREFILL_COST
-        self._add_work(affinity, is_long, now)
+        self._add_cost(affinity, is_long, now)
         if not affinity.prefill_cost or len(candidates) < 2 or now >= self._isolated_until:
             return self._other.choose(candidates, affinity, now)
         return self._other.choose(self._subset(candidates, is_long), affinity, now)
 
-    def _add_work(self, affinity: Affinity, is_long: bool, now: float) -> None:
+    def _add_cost(self, affinity: Affinity, is_long: bool, now: float) -> None:
         """Add the cost of a request to the averages."""
-        decay = math.exp((self._work_updated_at - now) / WORK_WINDOW_S)
-        self._work_updated_at = now
-        self._long_work *= decay
-        self._short_work *= decay
+        decay = math.exp((self._costs_updated_at - now) / COSTS_WINDOW_S)
+        self._costs_updated_at = now
+        self._long_cost *= decay
+        self._short_cost *= decay
         if is_long:
-            self._long_work += affinity.total_cost
+            self._long_cost += affinity.total_cost
         else:
-            self._short_work += affinity.total_cost
+            self._short_cost += affinity.total_cost
 
     def _subset(self, candidates: Sequence[Upstream], is_long: bool) -> list[Upstream]:
-        total = self._long_work + self._short_work
-        share = self._long_work / total if total else 0.0
+        total = self._long_cost + self._short_cost
+        share = self._long_cost / total if total else 0.0
         if not share:
             return list(candidates)
-        side = long_prompt_upstreams([upstream.instance.name for upstream in candidates], share)
-        return [upstream for upstream in candidates if (upstream.instance.name in side) == is_long]
+        for_long_prompts = long_prompt_upstreams(
+            [upstream.instance.name for upstream in candidates], share
+        )
+        return [
+            upstream
+            for upstream in candidates
+            if (upstream.instance.name in for_long_prompts) == is_long
+        ]
--- a/railtide/upstreams/slow_start.py
+++ b/railtide/upstreams/slow_start.py
@@ -94,20 +94,22 @@
     def __init__(self, own: str, routers: Callable[[], Sequence[str]]) -> None:
         self._own = own
         self._routers = routers
-        self._known: Sequence[str] = ()
-        self._pause_by_upstream: dict[str, float] = {}
+        self._known_routers: Sequence[str] = ()
+        self._interval_by_upstream: dict[str, float] = {}
 
     def interval_s(self, upstream: str, per_s: float) -> float:
         """Return the minimum seconds between this router's requests; infinite without a share."""
         routers = self._routers()
-        if routers != self._known:
-            self._known = routers
-            self._pause_by_upstream.clear()
-        pause = self._pause_by_upstream.get(upstream)
-        if pause is None:
-            pause = self._pause_by_upstream[upstream] = self._compute_interval_s(upstream, per_s)
-        return pause
+        if routers != self._known_routers:
+            self._known_routers = routers
+            self._interval_by_upstream.clear()
+        interval = self._interval_by_upstream.get(upstream)
+        if interval is None:
+            interval = self._interval_by_upstream[upstream] = self._compute_interval_s(
+                upstream, per_s
+            )
+        return interval
 
     def _compute_interval_s(self, upstream: str, per_s: float) -> float:
-        sharing = slow_start_routers(upstream, self._known, per_s)
+        sharing = slow_start_routers(upstream, self._known_routers, per_s)
         return interval_s(len(sharing), per_s) if self._own in sharing else math.inf
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -540,7 +540,7 @@
     Mutant(
         "long-prompts-always-apart",
         "upstreams/long_prompt_isolation.py",
-        "if self._paused < max(MIN_PAUSED, self._streams * PAUSED_SHARE):",
+        "if self._paused_count < max(MIN_PAUSED, self._stream_count * PAUSED_SHARE):",
         "if False:",
         ("railtide/upstreams/tests",),
     ),
