--- a/bench/policy.py
+++ b/bench/policy.py
@@ -15,9 +15,9 @@
 
 from railtide.budgets.balance import available
 from railtide.budgets.errors import BudgetError
+from railtide.budgets.grant_sizing import AdaptiveSizing, EqualShares, FixedSizing, GrantSizing
+from railtide.budgets.log_budget_source import Epoch, Treasury
 from railtide.budgets.messages import TopUp
-from railtide.budgets.sizing import AdaptiveSizing, EqualShares, FixedSizing, GrantSizing
-from railtide.budgets.treasury import Epoch, Treasury
 from railtide.configuration.messages import Proposal
 from railtide.configuration.models import AccountSettings
 from railtide.journal.entries import Code, Entry
--- a/bench/refusals.py
+++ b/bench/refusals.py
@@ -17,8 +17,8 @@
 
 import msgspec
 
-from railtide.budgets.account_lines import AccountState, RefusalCause
-from railtide.budgets.account_lines import cause_of as cause_of_state
+from railtide.budgets.account_log import AccountState, RefusalCause
+from railtide.budgets.account_log import cause_of as cause_of_state
 
 __all__ = ["Summary", "cause_of", "lines_of", "since", "state_of", "summary_of", "time_of"]
 
--- a/railtide/budgets/account_hand.py
+++ b/railtide/budgets/account_budget.py
@@ -7,17 +7,16 @@
 import trio
 from loguru import logger
 
-from railtide.budgets.account_lines import (
+from railtide.budgets.account_log import (
     AccountState,
     LineSchedule,
     cause_of,
     proof_of,
     state_of,
 )
-from railtide.budgets.hand import Hand, reserve, take_back
-from railtide.budgets.hand_bounds import HandBounds
-from railtide.budgets.hand_needs import HandNeeds
-from railtide.budgets.hand_size import (
+from railtide.budgets.allocation import Hand, reserve, take_back
+from railtide.budgets.allocation_limits import HandBounds
+from railtide.budgets.allocation_sizing import (
     Traffic,
     ahead_units,
     burst_units,
@@ -28,7 +27,6 @@
     rate_at,
     target_units,
 )
-from railtide.budgets.holder import Holder
 from railtide.budgets.ledger import (
     Holding,
     Ledger,
@@ -44,15 +42,17 @@
     units_charged,
     written_off,
 )
-from railtide.budgets.needs import (
+from railtide.budgets.partition_view import HandPlace, OpenPlace
+from railtide.budgets.peer_reports import PeerReports
+from railtide.budgets.process_context import Holder
+from railtide.budgets.shortfall_tracker import HandNeeds
+from railtide.budgets.shortfalls import (
     is_renewal_due,
     soon_units,
     spare_units,
     units_for_callers,
     units_to_return,
 )
-from railtide.budgets.peer_reports import PeerReports
-from railtide.budgets.place import HandPlace, OpenPlace
 from railtide.budgets.spend_limit import NO_READING, Reading, SpendLimit
 
 __all__ = ["AccountHand", "HandChange"]
--- a/railtide/budgets/hand_bounds.py
+++ b/railtide/budgets/allocation_limits.py
@@ -2,9 +2,9 @@
 
 import math
 
-from railtide.budgets.hand import Hand
-from railtide.budgets.holder import Holder
-from railtide.budgets.place import HandPlace
+from railtide.budgets.allocation import Hand
+from railtide.budgets.partition_view import HandPlace
+from railtide.budgets.process_context import Holder
 from railtide.budgets.rollback import unread_units
 from railtide.budgets.spend_limit import SpendLimit, units_at, wait_s
 from railtide.budgets.unread_reports import UnreadReports
--- a/railtide/budgets/hand_size.py
+++ b/railtide/budgets/allocation_sizing.py
@@ -74,7 +74,7 @@
     pace_after_s : float
         When the pace begins to count, after a report. While the store answers, the next report is
         there by then: of a router of 100 units a second that is killed and back after 1 s, 240
-        units are lost, and 365 with a pace from the start (`test_ledger_treasury.py`).
+        units are lost, and 365 with a pace from the start (`test_ledger_budget_source.py`).
     burst_s : float
         Seconds of an account's traffic that may come at once beyond the pace; no less than
         `pace_after_s`, so that traffic of the usual rate is always within the limit.
--- a/railtide/budgets/ledger.py
+++ b/railtide/budgets/ledger.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from railtide.budgets.needs import Need
+from railtide.budgets.shortfalls import Need
 from railtide.budgets.spend_limit import COUNT, Reading, SpendLimit, most_used
 
 __all__ = [
--- a/railtide/budgets/ledger_treasury.py
+++ b/railtide/budgets/ledger_budget_source.py
@@ -11,14 +11,14 @@
 import xxhash
 from loguru import logger
 
-from railtide.budgets.account_hand import AccountHand
+from railtide.budgets.account_budget import AccountHand
+from railtide.budgets.allocation import Hand, settle_reserve
+from railtide.budgets.allocation_sizing import LedgerOptions
+from railtide.budgets.budget_source import BudgetSource, Reserved
 from railtide.budgets.errors import BudgetExhausted, BudgetUnavailable
-from railtide.budgets.hand import Hand, settle_reserve
-from railtide.budgets.hand_size import LedgerOptions
-from railtide.budgets.holder import Holder
 from railtide.budgets.ledger_partition import LedgerPartition
 from railtide.budgets.peers import NoPeers, Peers
-from railtide.budgets.source import BudgetSource, Reserved
+from railtide.budgets.process_context import Holder
 from railtide.budgets.spend_limit import Clocks, NoClocks
 from railtide.configuration.models import AccountSettings
 from railtide.journal.keyed import KeyedStore
--- a/railtide/budgets/ledger_partition.py
+++ b/railtide/budgets/ledger_partition.py
@@ -17,13 +17,13 @@
 import trio
 from loguru import logger
 
-from railtide.budgets.account_hand import AccountHand, HandChange
-from railtide.budgets.hand_size import Horizon, LedgerOptions
-from railtide.budgets.holder import Holder
+from railtide.budgets.account_budget import AccountHand, HandChange
+from railtide.budgets.allocation_sizing import Horizon, LedgerOptions
 from railtide.budgets.ledger import Ledger, ledger_from_bytes, ledger_to_bytes
 from railtide.budgets.outages import Outages, note_reached, remaining_s
+from railtide.budgets.partition_view import HandPlace
 from railtide.budgets.peers import Life
-from railtide.budgets.place import HandPlace
+from railtide.budgets.process_context import Holder
 from railtide.budgets.rollback import (
     OPENINGS_KEY,
     Known,
--- a/railtide/budgets/treasury.py
+++ b/railtide/budgets/log_budget_source.py
@@ -13,8 +13,7 @@
 import trio
 from loguru import logger
 
-from railtide.budgets.errors import BudgetError, BudgetExhausted, BudgetUnavailable
-from railtide.budgets.hand import (
+from railtide.budgets.allocation import (
     Hand,
     can_expose,
     expose,
@@ -23,9 +22,16 @@
     take_back,
     unexpose,
 )
+from railtide.budgets.budget_source import BudgetSource, Reserved
+from railtide.budgets.errors import BudgetError, BudgetExhausted, BudgetUnavailable
+from railtide.budgets.grant_sizing import (
+    AdaptiveSizing,
+    Demand,
+    GrantSizing,
+    exposure_of,
+    low_water,
+)
 from railtide.budgets.messages import Grant, Return
-from railtide.budgets.sizing import AdaptiveSizing, Demand, GrantSizing, exposure_of, low_water
-from railtide.budgets.source import BudgetSource, Reserved
 from railtide.configuration.models import AccountSettings
 from railtide.journal.entries import Code
 from railtide.journal.writer import Ticket, Writer
--- a/railtide/budgets/holder.py
+++ b/railtide/budgets/process_context.py
@@ -3,8 +3,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from railtide.budgets.account_lines import LineAllowance
-from railtide.budgets.hand_size import LedgerOptions
+from railtide.budgets.account_log import LineAllowance
+from railtide.budgets.allocation_sizing import LedgerOptions
 from railtide.budgets.peers import NoPeers, Peers
 from railtide.budgets.spend_limit import Clocks, Reading
 from railtide.telemetry.counters import Counters
--- a/railtide/budgets/hand_needs.py
+++ b/railtide/budgets/shortfall_tracker.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Mapping
 
-from railtide.budgets.needs import (
+from railtide.budgets.shortfalls import (
     Need,
     NeedsSeen,
     OwnNeed,
--- a/railtide/budgets/spend_limit.py
+++ b/railtide/budgets/spend_limit.py
@@ -5,7 +5,7 @@
 same machine reads the same clocks at its own start, when its predecessor was dead; the units beyond
 that line were never spent and go back to the budget. Of a router that serves 100 units a second and
 is back a second after a kill, over 700 units are written off without this and at most 400 with it
-(`test_ledger_treasury.py`).
+(`test_ledger_budget_source.py`).
 
 Notes
 -----
--- a/railtide/budgets/tests/test_account_lines.py
+++ b/railtide/budgets/tests/test_account_log.py
@@ -1,4 +1,4 @@
-"""Tests of railtide.budgets.account_lines: what the lines on a budget say, and how often.
+"""Tests of railtide.budgets.account_log: what the lines on a budget say, and how often.
 
 After a loss of power of all routers callers were refused, and the lines said only that units were
 "spent or written off" and how many a dead process had not reported. Whether its clocks had proved
@@ -8,7 +8,7 @@
 import pytest
 import trio
 
-from railtide.budgets.account_lines import (
+from railtide.budgets.account_log import (
     BURST_LINES,
     LEAST_S,
     AccountState,
@@ -20,10 +20,10 @@
     proof_of,
     state_of,
 )
+from railtide.budgets.allocation_sizing import LedgerOptions
 from railtide.budgets.errors import BudgetError
-from railtide.budgets.hand_size import LedgerOptions
 from railtide.budgets.ledger import Holding, Ledger, ledger_to_bytes
-from railtide.budgets.ledger_treasury import LedgerTreasury
+from railtide.budgets.ledger_budget_source import LedgerTreasury
 from railtide.budgets.spend_limit import Clocks, Reading, SpendLimit
 from railtide.configuration.models import AccountSettings
 from railtide.standins.keyed_store import MemoryStore
--- a/railtide/budgets/tests/test_hand_size.py
+++ b/railtide/budgets/tests/test_allocation_sizing.py
@@ -1,11 +1,17 @@
-"""Tests of railtide.budgets.hand_size."""
+"""Tests of railtide.budgets.allocation_sizing."""
 
 from dataclasses import replace
 from random import Random
 
 import pytest
 
-from railtide.budgets.hand_size import LedgerOptions, Traffic, note_request, rate_at, target_units
+from railtide.budgets.allocation_sizing import (
+    LedgerOptions,
+    Traffic,
+    note_request,
+    rate_at,
+    target_units,
+)
 
 OPTIONS = LedgerOptions(
     horizon_s=10.0,
--- a/railtide/budgets/tests/test_rest.py
+++ b/railtide/budgets/tests/test_idle_accounts.py
@@ -2,11 +2,11 @@
 
 import pytest
 
-from railtide.budgets.account_hand import AccountHand
-from railtide.budgets.hand_size import LedgerOptions
-from railtide.budgets.holder import Holder
+from railtide.budgets.account_budget import AccountHand
+from railtide.budgets.allocation_sizing import LedgerOptions
 from railtide.budgets.ledger import Holding, Ledger
-from railtide.budgets.needs import Need
+from railtide.budgets.process_context import Holder
+from railtide.budgets.shortfalls import Need
 from railtide.budgets.spend_limit import NO_READING, NoClocks, Reading, SpendLimit
 
 LIMIT = SpendLimit(Reading("boot", 1.0, 1.0), 1, 1, 1)
--- a/railtide/budgets/tests/test_large_partition.py
+++ b/railtide/budgets/tests/test_large_partition.py
@@ -4,10 +4,10 @@
 
 import trio
 
+from railtide.budgets.allocation_sizing import LedgerOptions
 from railtide.budgets.errors import BudgetUnavailable
-from railtide.budgets.hand_size import LedgerOptions
 from railtide.budgets.ledger import Holding, Ledger, ledger_to_bytes
-from railtide.budgets.ledger_treasury import LedgerTreasury
+from railtide.budgets.ledger_budget_source import LedgerTreasury
 from railtide.budgets.spend_limit import Reading, SpendLimit
 from railtide.configuration.models import AccountSettings
 from railtide.journal.keyed import KeyedPage
--- a/railtide/budgets/tests/test_ledger.py
+++ b/railtide/budgets/tests/test_ledger.py
@@ -18,7 +18,7 @@
     ledger_to_bytes,
     reported_spend,
 )
-from railtide.budgets.needs import Need
+from railtide.budgets.shortfalls import Need
 from railtide.budgets.spend_limit import NoClocks, Reading, SpendLimit
 
 
--- a/railtide/budgets/tests/test_ledger_treasury.py
+++ b/railtide/budgets/tests/test_ledger_budget_source.py
@@ -1,4 +1,4 @@
-"""Tests of railtide.budgets.ledger_treasury: no overspend under any fault, few false refusals."""
+"""Tests of `ledger_budget_source`: no overspend under any fault, few false refusals."""
 
 from dataclasses import dataclass, field
 from random import Random
@@ -9,10 +9,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from railtide.budgets.allocation_sizing import LedgerOptions
 from railtide.budgets.errors import BudgetError, BudgetExhausted, BudgetUnavailable
-from railtide.budgets.hand_size import LedgerOptions
 from railtide.budgets.ledger import Holding, Ledger, committed, ledger_from_bytes, ledger_to_bytes
-from railtide.budgets.ledger_treasury import LedgerTreasury, partition_of
+from railtide.budgets.ledger_budget_source import LedgerTreasury, partition_of
 from railtide.budgets.spend_limit import Clocks, Reading
 from railtide.configuration.models import AccountSettings
 from railtide.standins.keyed_store import MemoryStore
--- a/railtide/budgets/tests/test_treasury.py
+++ b/railtide/budgets/tests/test_log_budget_source.py
@@ -1,11 +1,11 @@
-"""Tests of railtide.budgets.treasury."""
+"""Tests of railtide.budgets.log_budget_source."""
 
 import pytest
 import trio
 
 from railtide.budgets.errors import BudgetExhausted, BudgetUnavailable
+from railtide.budgets.log_budget_source import Epoch, Treasury
 from railtide.budgets.messages import Grant, Return
-from railtide.budgets.treasury import Epoch, Treasury
 from railtide.configuration.models import AccountSettings
 from railtide.journal.entries import Code, Entry, Verdict, record_of
 from railtide.journal.writer import Writer
--- a/railtide/budgets/tests/test_losses.py
+++ b/railtide/budgets/tests/test_losses.py
@@ -22,10 +22,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from railtide.budgets.allocation_sizing import LedgerOptions
 from railtide.budgets.errors import BudgetError
-from railtide.budgets.hand_size import LedgerOptions
 from railtide.budgets.ledger import Ledger, committed, ledger_from_bytes
-from railtide.budgets.ledger_treasury import LedgerTreasury
+from railtide.budgets.ledger_budget_source import LedgerTreasury
 from railtide.budgets.spend_limit import Clocks, Reading
 from railtide.configuration.models import AccountSettings
 from railtide.standins.keyed_store import MemoryStore
--- a/railtide/budgets/tests/test_peer_reports.py
+++ b/railtide/budgets/tests/test_peer_reports.py
@@ -13,9 +13,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from railtide.budgets.account_hand import AccountHand
+from railtide.budgets.account_budget import AccountHand
 from railtide.budgets.errors import BudgetError
-from railtide.budgets.holder import Holder
 from railtide.budgets.ledger import (
     Holding,
     Ledger,
@@ -25,8 +24,9 @@
     return_unproved,
 )
 from railtide.budgets.peer_reports import PeerReports
+from railtide.budgets.process_context import Holder
 from railtide.budgets.spend_limit import NO_READING, Clocks, Reading, SpendLimit
-from railtide.budgets.tests.test_ledger_treasury import (
+from railtide.budgets.tests.test_ledger_budget_source import (
     ACCOUNT,
     OPTIONS,
     SETTINGS,
--- a/railtide/budgets/tests/test_report_identity.py
+++ b/railtide/budgets/tests/test_report_identity.py
@@ -25,10 +25,10 @@
     ledger_from_bytes,
     ledger_to_bytes,
 )
-from railtide.budgets.ledger_treasury import LedgerTreasury
+from railtide.budgets.ledger_budget_source import LedgerTreasury
 from railtide.budgets.peer_reports import PeerReports
 from railtide.budgets.spend_limit import NO_READING, Reading, SpendLimit, units_at
-from railtide.budgets.tests.test_ledger_treasury import (
+from railtide.budgets.tests.test_ledger_budget_source import (
     ACCOUNT,
     OPTIONS,
     SETTINGS,
--- a/railtide/budgets/tests/test_returned_bounds.py
+++ b/railtide/budgets/tests/test_returned_bounds.py
@@ -15,8 +15,8 @@
 
 from railtide.budgets.errors import BudgetError
 from railtide.budgets.ledger import Holding, Ledger, ledger_from_bytes
-from railtide.budgets.ledger_treasury import LedgerTreasury
-from railtide.budgets.tests.test_ledger_treasury import (
+from railtide.budgets.ledger_budget_source import LedgerTreasury
+from railtide.budgets.tests.test_ledger_budget_source import (
     ACCOUNT,
     OPTIONS,
     SETTINGS,
--- a/railtide/budgets/tests/test_rollback.py
+++ b/railtide/budgets/tests/test_rollback.py
@@ -16,11 +16,11 @@
     ledger_from_bytes,
     ledger_to_bytes,
 )
+from railtide.budgets.ledger_budget_source import LedgerTreasury
 from railtide.budgets.ledger_partition import CLOSED_S
-from railtide.budgets.ledger_treasury import LedgerTreasury
 from railtide.budgets.rollback import OPENINGS_KEY
 from railtide.budgets.spend_limit import Reading, SpendLimit
-from railtide.budgets.tests.test_ledger_treasury import (
+from railtide.budgets.tests.test_ledger_budget_source import (
     ACCOUNT,
     OPTIONS,
     SETTINGS,
--- a/railtide/budgets/tests/test_needs.py
+++ b/railtide/budgets/tests/test_shortfalls.py
@@ -1,4 +1,4 @@
-"""Tests of railtide.budgets.needs: units that lie idle in other hands serve who lacks them.
+"""Tests of railtide.budgets.shortfalls: units that lie idle in other hands serve who lacks them.
 
 Callers were refused while their budget had units left. The account's requests had moved to another
 router near the end of the budget; the router before held units for traffic that no longer came and
@@ -15,11 +15,11 @@
 import pytest
 import trio
 
+from railtide.budgets.allocation_sizing import LedgerOptions
 from railtide.budgets.errors import BudgetError, BudgetUnavailable
-from railtide.budgets.hand_size import LedgerOptions
 from railtide.budgets.ledger import Holding, Ledger, ledger_to_bytes
-from railtide.budgets.ledger_treasury import LedgerTreasury
-from railtide.budgets.needs import (
+from railtide.budgets.ledger_budget_source import LedgerTreasury
+from railtide.budgets.shortfalls import (
     RENEW_S,
     SILENT_S,
     Need,
@@ -31,7 +31,7 @@
     note_seen,
     units_refused,
 )
-from railtide.budgets.tests.test_ledger_treasury import (
+from railtide.budgets.tests.test_ledger_budget_source import (
     ACCOUNT,
     SETTINGS,
     ledger_of,
--- a/railtide/edge/node.py
+++ b/railtide/edge/node.py
@@ -7,7 +7,7 @@
 import trio
 from loguru import logger
 
-from railtide.budgets.ledger_treasury import LedgerTreasury
+from railtide.budgets.ledger_budget_source import LedgerTreasury
 from railtide.budgets.spend_limit import Clocks
 from railtide.clocks import Suspensions
 from railtide.configuration.errors import InvalidObject
--- a/railtide/edge/options.py
+++ b/railtide/edge/options.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from railtide.budgets.hand_size import LedgerOptions
+from railtide.budgets.allocation_sizing import LedgerOptions
 from railtide.membership.roster import RosterOptions
 from railtide.requests.options import RequestOptions
 
--- a/railtide/edge/tests/rollback_fleet.py
+++ b/railtide/edge/tests/rollback_fleet.py
@@ -10,9 +10,9 @@
 
 import trio
 
+from railtide.budgets.allocation_sizing import LedgerOptions
 from railtide.budgets.errors import BudgetError
-from railtide.budgets.hand_size import LedgerOptions
-from railtide.budgets.ledger_treasury import LedgerTreasury
+from railtide.budgets.ledger_budget_source import LedgerTreasury
 from railtide.budgets.spend_limit import Clocks, Reading
 from railtide.configuration.models import AccountSettings
 from railtide.edge.peers import RosterPeers
--- a/railtide/edge/tests/test_rollback_fleet.py
+++ b/railtide/edge/tests/test_rollback_fleet.py
@@ -14,7 +14,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from railtide.budgets.hand_size import LedgerOptions
+from railtide.budgets.allocation_sizing import LedgerOptions
 from railtide.budgets.ledger import ledger_from_bytes
 from railtide.budgets.rollback import OPENINGS_KEY, Opening, openings_from_bytes
 from railtide.edge.tests.rollback_fleet import ACCOUNT, PREPAID, Machine, RollbackFleet
--- a/railtide/platform/program.py
+++ b/railtide/platform/program.py
@@ -9,7 +9,7 @@
 from prometheus_client import CONTENT_TYPE_LATEST, generate_latest
 from pydantic import BaseModel, Field
 
-from railtide.budgets.hand_size import LedgerOptions
+from railtide.budgets.allocation_sizing import LedgerOptions
 from railtide.clocks import BootTimeClock
 from railtide.configuration.snapshot import Snapshot
 from railtide.edge.node import EdgeNode
--- a/railtide/requests/cover.py
+++ b/railtide/requests/cover.py
@@ -16,7 +16,7 @@
 from opentelemetry import trace
 
 from railtide.budgets.errors import ExposureReached
-from railtide.budgets.treasury import Reservation
+from railtide.budgets.log_budget_source import Reservation
 from railtide.journal.entries import Code, Verdict
 from railtide.journal.writer import Ticket
 from railtide.requests.call import Call
--- a/railtide/requests/dispatcher.py
+++ b/railtide/requests/dispatcher.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 
 from railtide.budgets.errors import BudgetError
-from railtide.budgets.treasury import Treasury
+from railtide.budgets.log_budget_source import Treasury
 from railtide.lanes.errors import LaneError, NoUpstream
 from railtide.lanes.scheduler import PoolScheduler
 from railtide.requests.call import AnswerSink, Call
--- a/railtide/requests/execution.py
+++ b/railtide/requests/execution.py
@@ -7,8 +7,8 @@
 from loguru import logger
 from opentelemetry import trace
 
+from railtide.budgets.log_budget_source import Reservation
 from railtide.budgets.messages import Waste
-from railtide.budgets.treasury import Reservation
 from railtide.containment.ends import UpstreamRun
 from railtide.containment.errors import ContentHeld
 from railtide.errors import RailtideError, Run
--- a/railtide/requests/ledger_cover.py
+++ b/railtide/requests/ledger_cover.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from railtide.budgets.source import Reserved
+from railtide.budgets.budget_source import Reserved
 from railtide.journal.writer import Ticket
 from railtide.requests.call import Call
 from railtide.requests.cover import Cover
--- a/railtide/requests/recovery.py
+++ b/railtide/requests/recovery.py
@@ -5,7 +5,7 @@
 import trio
 from loguru import logger
 
-from railtide.budgets.treasury import Treasury
+from railtide.budgets.log_budget_source import Treasury
 from railtide.lanes.scheduler import PoolScheduler
 from railtide.membership.instances import Instance
 from railtide.requests.answers import END_MARK, StreamChecker, usage_of_body
--- a/railtide/requests/services.py
+++ b/railtide/requests/services.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from railtide.budgets.treasury import Reservation
+from railtide.budgets.log_budget_source import Reservation
 from railtide.configuration.models import AccountSettings
 from railtide.containment.guard import ContentGuard, NoGuard
 from railtide.requests.options import RequestOptions
--- a/railtide/requests/tests/test_cover.py
+++ b/railtide/requests/tests/test_cover.py
@@ -3,7 +3,7 @@
 import pytest
 import trio
 
-from railtide.budgets.treasury import Epoch, Reservation
+from railtide.budgets.log_budget_source import Epoch, Reservation
 from railtide.configuration.models import AccountSettings
 from railtide.journal.entries import Code, Verdict
 from railtide.journal.writer import Writer
--- a/railtide/requests/tests/test_recovery.py
+++ b/railtide/requests/tests/test_recovery.py
@@ -2,7 +2,7 @@
 
 import trio
 
-from railtide.budgets.treasury import Epoch, Treasury
+from railtide.budgets.log_budget_source import Epoch, Treasury
 from railtide.journal.entries import Code, Entry, Verdict, record_of
 from railtide.journal.writer import Writer
 from railtide.lanes.scheduler import PoolScheduler
--- a/railtide/router/router.py
+++ b/railtide/router/router.py
@@ -6,7 +6,7 @@
 import trio
 from loguru import logger
 
-from railtide.budgets.treasury import Epoch, Treasury
+from railtide.budgets.log_budget_source import Epoch, Treasury
 from railtide.configuration.directory import Directory
 from railtide.configuration.errors import StaleConfiguration
 from railtide.configuration.messages import Kind
--- a/tests/edge_soak/rollbacks.py
+++ b/tests/edge_soak/rollbacks.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from railtide.budgets.hand_size import LedgerOptions
+from railtide.budgets.allocation_sizing import LedgerOptions
 from railtide.budgets.rollback import OPENINGS_KEY, Opening, openings_from_bytes
 from railtide.platform.program import LEDGER_PARTITIONS
 from tests.edge_soak.callers import Callers
--- a/tests/test_edge_process.py
+++ b/tests/test_edge_process.py
@@ -15,7 +15,7 @@
 import pytest
 import trio
 
-from railtide.budgets.hand_size import LedgerOptions
+from railtide.budgets.allocation_sizing import LedgerOptions
 from railtide.budgets.ledger import committed, ledger_from_bytes
 from railtide.http.client import Exchange, PeerPool
 from railtide.http.errors import HttpError
--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from bench.refusals import Death, Line, cause_of, lines_of, since, state_of, summary_of, table_of
-from railtide.budgets.account_lines import AccountState, RefusalCause
+from railtide.budgets.account_log import AccountState, RefusalCause
 
 TIME = "2030-01-01T00:00:01.500+00:00"
 
