--- a/bench/policy.py
+++ b/bench/policy.py
@@ -1,6 +1,6 @@
 """Budget policy on a virtual clock: adaptive grants, fixed grants, equal static shares.
 
-Run ``python -m bench.policy``. Real treasuries and the real fold; the log is in memory with a
+Run ``python -m bench.policy``. Real budget sources and the real fold; the log is in memory with a
 delay, and each router can be cut off from it. A false refusal is one made while the budget, with
 all that is in hands, would have covered the request.
 """
@@ -16,7 +16,7 @@
 from railtide.budgets.balance import available
 from railtide.budgets.errors import BudgetError
 from railtide.budgets.grant_sizing import AdaptiveSizing, EqualShares, FixedSizing, GrantSizing
-from railtide.budgets.log_budget_source import Epoch, Treasury
+from railtide.budgets.log_budget_source import Epoch, LogBudgetSource
 from railtide.budgets.messages import TopUp
 from railtide.configuration.messages import Proposal
 from railtide.configuration.models import AccountSettings
@@ -39,11 +39,11 @@
 
 @dataclass
 class Node:
-    """One router: its treasury, and whether it reaches the log."""
+    """One router: its budget source, and whether it reaches the log."""
 
     name: str
     reachable: bool = True
-    treasury: Treasury | None = None
+    budgets: LogBudgetSource | None = None
     writers: list[Writer] = field(default_factory=list)
 
 
@@ -66,12 +66,12 @@
             if folded.verdict.code == Code.BUDGET_EXHAUSTED:
                 for node in self.nodes.values():
                     if node.reachable:
-                        node.treasury.give_back(ACCOUNT)
+                        node.budgets.give_back(ACCOUNT)
             node = self.nodes.get(folded.holder)
             if node:
                 writer = node.writers[0]
                 ticket = writer.take_verdict(folded.verdict)
-                node.treasury.take_ticket(node.treasury.epoch, ticket)
+                node.budgets.take_ticket(node.budgets.epoch, ticket)
 
     async def run(self) -> None:
         """Fold what nodes have written, every `LOG_S`."""
@@ -82,7 +82,7 @@
                     self._fold([e for writer in node.writers for e in writer.pending()])
 
     def add_node(self, name: str, sizing: Callable[[], GrantSizing]) -> Node:
-        """Return a node with a treasury of its own."""
+        """Return a node with a budget source of its own."""
         node = Node(name)
 
         def open_epoch() -> Epoch:
@@ -92,10 +92,10 @@
             return Epoch(writer)
 
         policy = sizing()
-        node.treasury = Treasury(
+        node.budgets = LogBudgetSource(
             open_epoch, lambda: node.reachable, lambda settings: ROUTERS, lambda settings: policy
         )
-        node.treasury.begin()
+        node.budgets.begin()
         self.nodes[name] = node
         return node
 
@@ -138,7 +138,7 @@
         cost = self._rng.randint(10, reserve)
         deadline = trio.current_time() + 5
         try:
-            held = await node.treasury.reserve(ACCOUNT, self.settings, reserve, deadline)
+            held = await node.budgets.reserve(ACCOUNT, self.settings, reserve, deadline)
         except BudgetError:
             self.result.refused += 1
             self.result.false_refusals += self.paid - self.used >= reserve
@@ -235,7 +235,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(trial.log.run)
             for node in trial.nodes:
-                nursery.start_soon(node.treasury.run)
+                nursery.start_soon(node.budgets.run)
             await scenario(trial)
             await trio.sleep(2)
             nursery.cancel_scope.cancel()
--- a/railtide/budgets/budget_source.py
+++ b/railtide/budgets/budget_source.py
@@ -1,13 +1,13 @@
-"""Where requests get their budget from: the interface of all treasuries."""
+"""Where requests get their budget from: the interface of all budget sources."""
 
 from abc import ABC, abstractmethod
 
 from railtide.configuration.models import AccountSettings
 
-__all__ = ["BudgetSource", "Reserved"]
+__all__ = ["BudgetSource", "BudgetReservation"]
 
 
-class Reserved(ABC):
+class BudgetReservation(ABC):
     """Units kept back for one request until it is settled.
 
     Attributes
@@ -29,7 +29,7 @@
     @abstractmethod
     async def reserve(
         self, account: str, settings: AccountSettings, amount: int, deadline: float
-    ) -> Reserved:
+    ) -> BudgetReservation:
         """Return a reservation.
 
         Parameters
--- a/railtide/budgets/ledger_budget_source.py
+++ b/railtide/budgets/ledger_budget_source.py
@@ -14,7 +14,7 @@
 from railtide.budgets.account_budget import AccountHand
 from railtide.budgets.allocation import Hand, settle_reserve
 from railtide.budgets.allocation_sizing import LedgerOptions
-from railtide.budgets.budget_source import BudgetSource, Reserved
+from railtide.budgets.budget_source import BudgetReservation, BudgetSource
 from railtide.budgets.errors import BudgetExhausted, BudgetUnavailable
 from railtide.budgets.ledger_partition import LedgerPartition
 from railtide.budgets.peers import NoPeers, Peers
@@ -24,7 +24,7 @@
 from railtide.journal.keyed import KeyedStore
 from railtide.telemetry.counters import Counters
 
-__all__ = ["LedgerTreasury", "partition_of"]
+__all__ = ["LedgerBudgetSource", "partition_of"]
 
 RETURN_TICK_S = 0.02
 """Between two looks at whether a return is written, at a shutdown."""
@@ -41,7 +41,7 @@
     return xxhash.xxh3_64_intdigest(account.encode()) % partitions
 
 
-class LedgerReservation(Reserved):
+class LedgerReservation(BudgetReservation):
     """Units of a hand kept back for one request."""
 
     def __init__(
@@ -53,7 +53,7 @@
         self._settled = False
 
     def settle(self, used: int) -> int:
-        """End the reservation; see `Reserved.settle`."""
+        """End the reservation; see `BudgetReservation.settle`."""
         if self._settled:
             return 0
         self._settled = True
@@ -63,7 +63,7 @@
         return spent
 
 
-class LedgerTreasury(BudgetSource):
+class LedgerBudgetSource(BudgetSource):
     """Hands out reservations from hands that are granted in the ledgers.
 
     Parameters
--- a/railtide/budgets/log_budget_source.py
+++ b/railtide/budgets/log_budget_source.py
@@ -22,7 +22,7 @@
     take_back,
     unexpose,
 )
-from railtide.budgets.budget_source import BudgetSource, Reserved
+from railtide.budgets.budget_source import BudgetReservation, BudgetSource
 from railtide.budgets.errors import BudgetError, BudgetExhausted, BudgetUnavailable
 from railtide.budgets.grant_sizing import (
     AdaptiveSizing,
@@ -37,7 +37,7 @@
 from railtide.journal.writer import Ticket, Writer
 from railtide.membership.messages import Close
 
-__all__ = ["Epoch", "Reservation", "Treasury"]
+__all__ = ["Epoch", "LogReservation", "LogBudgetSource"]
 
 Taken = TypeVar("Taken")
 
@@ -63,7 +63,7 @@
         return self.by_account.setdefault(account, Hand())
 
 
-class Reservation(Reserved):
+class LogReservation(BudgetReservation):
     """Units reserved for one request, from reserve to settlement.
 
     Parameters
@@ -132,7 +132,7 @@
     changed: trio.Event = field(default_factory=trio.Event)
 
 
-class Treasury(BudgetSource):
+class LogBudgetSource(BudgetSource):
     """Hands out reservations and tends the hands.
 
     Parameters
@@ -175,7 +175,7 @@
 
     async def reserve(
         self, account: str, settings: AccountSettings, amount: int, deadline: float
-    ) -> Reservation:
+    ) -> LogReservation:
         """Return a reservation; see `BudgetSource.reserve`."""
         self._settings_by_account[account] = settings
         self._note_rate(account, amount)
@@ -186,7 +186,7 @@
         return taken
 
     async def extend(
-        self, reservation: Reservation, settings: AccountSettings, amount: int, deadline: float
+        self, reservation: LogReservation, settings: AccountSettings, amount: int, deadline: float
     ) -> bool:
         """Add to a reservation, asking for a grant if need be; return whether it was done.
 
@@ -223,11 +223,11 @@
             need = amount - self.epoch.hand(account).available
             exhausted = await self._ask_until(account, settings, need, until) or exhausted
 
-    def _take(self, account: str, amount: int) -> Reservation | None:
+    def _take(self, account: str, amount: int) -> LogReservation | None:
         self._leave_fenced_epoch()
         if not reserve(self.epoch.hand(account), amount):
             return None
-        return Reservation(self.epoch, account, amount)
+        return LogReservation(self.epoch, account, amount)
 
     def _refusal(self, exhausted: bool) -> BudgetExhausted | BudgetUnavailable:
         self.refusals += 1
--- a/railtide/budgets/tests/test_account_log.py
+++ b/railtide/budgets/tests/test_account_log.py
@@ -23,7 +23,7 @@
 from railtide.budgets.allocation_sizing import LedgerOptions
 from railtide.budgets.errors import BudgetError
 from railtide.budgets.ledger import Holding, Ledger, ledger_to_bytes
-from railtide.budgets.ledger_budget_source import LedgerTreasury
+from railtide.budgets.ledger_budget_source import LedgerBudgetSource
 from railtide.budgets.spend_limit import Clocks, Reading, SpendLimit
 from railtide.configuration.models import AccountSettings
 from railtide.standins.keyed_store import MemoryStore
@@ -50,8 +50,8 @@
     return [line for line in lines if line["event"] == event]
 
 
-def treasury(store: MemoryStore, counters: Counters, life: str = "2", prepaid: int = 1000):
-    made = LedgerTreasury(
+def make_source(store: MemoryStore, counters: Counters, life: str = "2", prepaid: int = 1000):
+    made = LedgerBudgetSource(
         store,
         "i1",
         f"i1-{life}",
@@ -146,7 +146,7 @@
         held = {"i2": Holding("i2-1", granted=300, spent=100)}
         store.put(OPTIONS.topic, ACCOUNT, ledger_to_bytes(Ledger(400, 150, held)))
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(treasury(store, Counters()).run)
+            nursery.start_soon(make_source(store, Counters()).run)
             await trio.sleep(LEAST_S)
             state = {"prepaid": 1000, "spent": 250, "written_off": 250}
             state |= {"in_hands": 200, "left": 300}
@@ -165,7 +165,7 @@
     ) -> None:
         store = MemoryStore()
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(treasury(store, Counters()).run)
+            nursery.start_soon(make_source(store, Counters()).run)
             for closed in range(30):
                 store.put(OPTIONS.topic, ACCOUNT, ledger_to_bytes(Ledger(closed)))
                 await trio.sleep(1)
@@ -187,7 +187,7 @@
         dead = Holding("i1-1", granted=1000, spent=100, limit=limit)
         store.put(OPTIONS.topic, ACCOUNT, ledger_to_bytes(Ledger(by_instance={"i1": dead})))
         async with trio.open_nursery() as nursery:
-            new = treasury(store, counters)
+            new = make_source(store, counters)
             new.spread()
             nursery.start_soon(new.run)
             await trio.sleep(3)
@@ -204,7 +204,7 @@
     ) -> None:
         store, counters = MemoryStore(), Counters()
         store.put(OPTIONS.topic, ACCOUNT, ledger_to_bytes(Ledger(closed=980, billed=300)))
-        made = treasury(store, counters)
+        made = make_source(store, counters)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(made.run)
             await trio.sleep(1)
@@ -220,7 +220,7 @@
     ) -> None:
         store = MemoryStore()
         store.down = True
-        made = treasury(store, Counters())
+        made = make_source(store, Counters())
         async with trio.open_nursery() as nursery:
             nursery.start_soon(made.run)
             with pytest.raises(BudgetError):
@@ -233,7 +233,7 @@
         self, autojump_clock, lines: list[dict]
     ) -> None:
         store = MemoryStore()
-        made = treasury(store, Counters())
+        made = make_source(store, Counters())
         async with trio.open_nursery() as nursery:
             nursery.start_soon(made.run)
             await trio.sleep(1)
--- a/railtide/budgets/tests/test_large_partition.py
+++ b/railtide/budgets/tests/test_large_partition.py
@@ -7,7 +7,7 @@
 from railtide.budgets.allocation_sizing import LedgerOptions
 from railtide.budgets.errors import BudgetUnavailable
 from railtide.budgets.ledger import Holding, Ledger, ledger_to_bytes
-from railtide.budgets.ledger_budget_source import LedgerTreasury
+from railtide.budgets.ledger_budget_source import LedgerBudgetSource
 from railtide.budgets.spend_limit import Reading, SpendLimit
 from railtide.configuration.models import AccountSettings
 from railtide.journal.keyed import KeyedPage
@@ -40,8 +40,8 @@
     return store
 
 
-def treasury(store: MemoryStore) -> LedgerTreasury:
-    made = LedgerTreasury(store, "new", "new-1", lambda: 2, OPTIONS, address="10.0.0.2:8080")
+def make_source(store: MemoryStore) -> LedgerBudgetSource:
+    made = LedgerBudgetSource(store, "new", "new-1", lambda: 2, OPTIONS, address="10.0.0.2:8080")
     made.set_prepaid({f"account-{number}": 1_000_000 for number in range(ACCOUNTS)})
     return made
 
@@ -53,7 +53,7 @@
 
     async def test_hands_are_filled_in_several_calls(self, autojump_clock) -> None:
         """In one call for all, each try was refused and the next one was the same."""
-        made = treasury(store_of_a_fleet())
+        made = make_source(store_of_a_fleet())
         made.spread()
         (part,) = made.partitions
         async with trio.open_nursery() as nursery:
@@ -65,7 +65,7 @@
 
     async def test_others_are_heard_while_more_is_due_than_is_done(self, autojump_clock) -> None:
         store = store_of_a_fleet()
-        made = treasury(store)
+        made = make_source(store)
         made.spread()
         (part,) = made.partitions
         async with trio.open_nursery() as nursery:
@@ -79,7 +79,7 @@
     async def test_who_waits_goes_first(self, autojump_clock) -> None:
         """All hands are due at once; a call takes 0.1 s, and 24 of them hold all ledgers."""
         store = store_of_a_fleet()
-        made = treasury(store)
+        made = make_source(store)
         async with trio.open_nursery() as nursery:
             store.delay_s = 0.1
             nursery.start_soon(made.run)
@@ -97,7 +97,7 @@
     ) -> None:
         """Forty accounts have traffic; to report it takes three calls, and is due by each."""
         store = store_of_a_fleet()
-        made = treasury(store)
+        made = make_source(store)
         made.spread()
         (part,) = made.partitions
         settings = AccountSettings(budget_wait_s=0.1)
@@ -154,7 +154,7 @@
     async def test_grant_comes_beside_others_that_append(self, autojump_clock) -> None:
         """All 400 ledgers take 5.6 s, within which others always append: no try ever won."""
         store = store_of_a_fleet(NarrowStore())
-        made = treasury(store)
+        made = make_source(store)
         settings = AccountSettings(budget_wait_s=5.0)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(made.run)
@@ -170,7 +170,7 @@
         store = NarrowStore()
         value = ledger_to_bytes(ledger_of_a_fleet())
         store.put(OPTIONS.topic, "account-0", value)
-        made = treasury(store)
+        made = make_source(store)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(made.run)
             nursery.start_soon(store.change, "account-1", 0.002)
@@ -180,7 +180,7 @@
 
     async def test_history_that_is_gone_is_read_from_the_newest(self, autojump_clock) -> None:
         store = store_of_a_fleet(NarrowStore())
-        made = treasury(store)
+        made = make_source(store)
         (part,) = made.partitions
         async with trio.open_nursery() as nursery:
             nursery.start_soon(made.run)
--- a/railtide/budgets/tests/test_ledger_budget_source.py
+++ b/railtide/budgets/tests/test_ledger_budget_source.py
@@ -12,7 +12,7 @@
 from railtide.budgets.allocation_sizing import LedgerOptions
 from railtide.budgets.errors import BudgetError, BudgetExhausted, BudgetUnavailable
 from railtide.budgets.ledger import Holding, Ledger, committed, ledger_from_bytes, ledger_to_bytes
-from railtide.budgets.ledger_budget_source import LedgerTreasury, partition_of
+from railtide.budgets.ledger_budget_source import LedgerBudgetSource, partition_of
 from railtide.budgets.spend_limit import Clocks, Reading
 from railtide.configuration.models import AccountSettings
 from railtide.standins.keyed_store import MemoryStore
@@ -36,16 +36,16 @@
         return Reading(self.boot, now - self.began_at, 1e9 + now + self.set_by_s)
 
 
-def treasury(
+def make_source(
     store: MemoryStore, name: str = "i1", life: str = "1", routers: int = 1, boot: str = ""
 ):
-    return treasury_with(store, name, life, routers, FakeClocks(boot))
+    return make_source_with(store, name, life, routers, FakeClocks(boot))
 
 
-def treasury_with(
+def make_source_with(
     store: MemoryStore, name: str, life: str, routers: int, clocks: Clocks, address: str = ""
 ):
-    made = LedgerTreasury(
+    made = LedgerBudgetSource(
         store,
         name,
         f"{name}-{life}",
@@ -67,7 +67,7 @@
 class TestReserve:
     async def test_grant_covers_later_requests_without_the_store(self, autojump_clock) -> None:
         store = MemoryStore()
-        made = treasury(store)
+        made = make_source(store)
         made.spread()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(made.run)
@@ -80,7 +80,7 @@
 
     async def test_store_away_refuses_at_once(self, autojump_clock) -> None:
         store = MemoryStore()
-        made = treasury(store)
+        made = make_source(store)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(made.run)
             await trio.sleep(1)
@@ -96,7 +96,7 @@
     async def test_callers_come_back_by_the_outages_that_were_seen(self, autojump_clock) -> None:
         """Outages of four seconds: a caller refused a second into the sixth finds the store."""
         store = MemoryStore()
-        made = treasury(store)
+        made = make_source(store)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(made.run)
             for _ in range(5):
@@ -118,7 +118,7 @@
         store = MemoryStore()
         spent = Ledger(by_instance={"i2": Holding("i2-1", granted=1000, spent=990)})
         store.put(OPTIONS.topic, ACCOUNT, ledger_to_bytes(spent))
-        made = treasury(store, routers=0)
+        made = make_source(store, routers=0)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(made.run)
             await trio.sleep(1)
@@ -132,7 +132,7 @@
         store = MemoryStore()
         other = Ledger(by_instance={"i2": Holding("i2-1", granted=1000, spent=300)})
         store.put(OPTIONS.topic, ACCOUNT, ledger_to_bytes(other))
-        made = treasury(store)
+        made = make_source(store)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(made.run)
             with pytest.raises(BudgetUnavailable):
@@ -149,7 +149,7 @@
     ) -> None:
         store = MemoryStore()
         options = LedgerOptions(partitions=2)
-        made = LedgerTreasury(store, "i1", "i1-1", lambda: 1, options)
+        made = LedgerBudgetSource(store, "i1", "i1-1", lambda: 1, options)
         names = {partition_of(name, 2): name for name in "abcdefgh"}
         made.set_prepaid(dict.fromkeys(names.values(), 1000))
         store.down_partitions = {1}
@@ -166,14 +166,14 @@
             nursery.cancel_scope.cancel()
 
     async def test_request_without_cost_needs_no_budget(self, autojump_clock) -> None:
-        made = treasury(MemoryStore())
+        made = make_source(MemoryStore())
         assert (await made.reserve(ACCOUNT, SETTINGS, 0, 9.0)).amount == 0
 
 
 class TestLedgers:
     async def test_lost_answer_is_learnt_by_reading(self, autojump_clock) -> None:
         store = MemoryStore()
-        made = treasury(store)
+        made = make_source(store)
         store.lose_answers = 1
         async with trio.open_nursery() as nursery:
             nursery.start_soon(made.run)
@@ -185,7 +185,7 @@
         self, autojump_clock
     ) -> None:
         store = MemoryStore()
-        made = treasury(store)
+        made = make_source(store)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(made.run)
             await trio.sleep(0.1)
@@ -205,7 +205,7 @@
 
     async def test_late_append_is_not_counted_twice(self, autojump_clock) -> None:
         store = MemoryStore()
-        made = treasury(store)
+        made = make_source(store)
         store.late_appends = 1
         async with trio.open_nursery() as nursery:
             nursery.start_soon(made.run)
@@ -218,7 +218,7 @@
     async def test_new_process_writes_off_the_hand_of_the_one_before(self, autojump_clock) -> None:
         store = MemoryStore()
         for life, expected in (("1", 50), ("2", 110)):
-            made = treasury(store, life=life)
+            made = make_source(store, life=life)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(made.run)
                 await made.reserve(ACCOUNT, SETTINGS, int(life) * 10 + 40, 9.0)
@@ -227,7 +227,7 @@
 
     async def test_shutdown_gives_back_all_but_what_was_spent(self, autojump_clock) -> None:
         store = MemoryStore()
-        made = treasury(store)
+        made = make_source(store)
         made.spread()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(made.run)
@@ -240,7 +240,7 @@
 
     async def test_lower_budget_takes_idle_units_back(self, autojump_clock) -> None:
         store = MemoryStore()
-        made = treasury(store)
+        made = make_source(store)
         made.spread()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(made.run)
@@ -255,7 +255,7 @@
 
     async def test_history_that_expired_is_read_again(self, autojump_clock) -> None:
         store = MemoryStore()
-        made = treasury(store)
+        made = make_source(store)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(made.run)
             await made.reserve(ACCOUNT, SETTINGS, 10, trio.current_time() + 9)
@@ -273,7 +273,7 @@
     ) -> None:
         store = MemoryStore()
         store.put(OPTIONS.topic, "other", b"\xc1")
-        made = treasury(store)
+        made = make_source(store)
         made.set_prepaid({ACCOUNT: 1000, "other": 1000})
         async with trio.open_nursery() as nursery:
             nursery.start_soon(made.run)
@@ -288,7 +288,7 @@
         store = MemoryStore()
         others = Ledger(by_instance={"i2": Holding("i2-1", granted=500)})
         store.put(OPTIONS.topic, ACCOUNT, ledger_to_bytes(others))
-        made = treasury(store)
+        made = make_source(store)
         made.spread()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(made.run)
@@ -303,7 +303,7 @@
         self, autojump_clock
     ) -> None:
         store = MemoryStore()
-        idle, busy = treasury(store, "i1", routers=2), treasury(store, "i2", routers=2)
+        idle, busy = make_source(store, "i1", routers=2), make_source(store, "i2", routers=2)
         idle.spread()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(idle.run)
@@ -322,7 +322,7 @@
     ) -> None:
         """A loss of power often follows an outage; a router of 100 units a second, 8 s away."""
         store = MemoryStore()
-        made = treasury(store)
+        made = make_source(store)
         made.set_prepaid({ACCOUNT: 20_000})
         made.spread()
         in_hand = []
@@ -348,7 +348,7 @@
 class TestSpendLimit:
     """A router serves 100 units a second from a budget of 10,000 and is killed after 20 s."""
 
-    async def _serve(self, made: LedgerTreasury, seconds: float) -> int:
+    async def _serve(self, made: LedgerBudgetSource, seconds: float) -> int:
         """Have 20 units reserved five times a second; return the units served."""
         served = 0
         for _ in range(round(seconds * 5)):
@@ -365,7 +365,7 @@
         store = MemoryStore()
         spent = 0
         for life, boot in enumerate(boots):
-            made = treasury(store, life=str(life), boot=boot)
+            made = make_source(store, life=str(life), boot=boot)
             made.set_prepaid({ACCOUNT: 10_000})
             made.spread()
             async with trio.open_nursery() as nursery:
@@ -396,7 +396,7 @@
 
     async def test_report_under_way_does_not_lift_the_limit_in_force(self, autojump_clock) -> None:
         store = MemoryStore()
-        made = treasury(store, boot="boot")
+        made = make_source(store, boot="boot")
         made.set_prepaid({ACCOUNT: 10_000})
         made.spread()
         async with trio.open_nursery() as nursery:
@@ -412,7 +412,7 @@
         store = MemoryStore()
         served_by_boot = {}
         for boot in ("", "boot"):
-            made = treasury(store, name=f"i{boot}", boot=boot)
+            made = make_source(store, name=f"i{boot}", boot=boot)
             made.set_prepaid({ACCOUNT: 10_000})
             made.spread()
             async with trio.open_nursery() as nursery:
@@ -426,7 +426,7 @@
 
     async def test_request_beyond_the_pace_is_told_when_it_fits(self, autojump_clock) -> None:
         store = MemoryStore()
-        made = treasury(store, boot="boot")
+        made = make_source(store, boot="boot")
         made.set_prepaid({ACCOUNT: 10_000})
         made.spread()
         async with trio.open_nursery() as nursery:
@@ -463,7 +463,7 @@
             self.lives += 1
             if rng.random() < 0.4:
                 clocks = self._after_power_loss(rng)
-            made = treasury_with(self.store, name, str(self.lives), 3, clocks)
+            made = make_source_with(self.store, name, str(self.lives), 3, clocks)
             if rng.random() < 0.7:
                 made.spread()
             with trio.move_on_after(rng.uniform(0.5, 8.0)):
@@ -498,7 +498,7 @@
         boot = "boot" if rng.random() < 0.5 else f"boot-{rng.random()}"
         return FakeClocks(boot, trio.current_time() - rng.uniform(0.0, 40.0))
 
-    async def _request(self, made: LedgerTreasury, rng: Random) -> None:
+    async def _request(self, made: LedgerBudgetSource, rng: Random) -> None:
         amount = self._amount(rng)
         try:
             reserved = await made.reserve(ACCOUNT, SETTINGS, amount, trio.current_time() + 1)
--- a/railtide/budgets/tests/test_log_budget_source.py
+++ b/railtide/budgets/tests/test_log_budget_source.py
@@ -4,7 +4,7 @@
 import trio
 
 from railtide.budgets.errors import BudgetExhausted, BudgetUnavailable
-from railtide.budgets.log_budget_source import Epoch, Treasury
+from railtide.budgets.log_budget_source import Epoch, LogBudgetSource
 from railtide.budgets.messages import Grant, Return
 from railtide.configuration.models import AccountSettings
 from railtide.journal.entries import Code, Entry, Verdict, record_of
@@ -22,8 +22,8 @@
         self.reachable = reachable
         self.records = []
         self.epochs: list[Epoch] = []
-        self.treasury = Treasury(self._open, lambda: self.reachable, lambda settings: 2)
-        self.treasury.begin()
+        self.budgets = LogBudgetSource(self._open, lambda: self.reachable, lambda settings: 2)
+        self.budgets.begin()
 
     def _open(self) -> Epoch:
         epoch = Epoch(Writer(f"h{len(self.epochs)}", self._on_entry))
@@ -46,7 +46,7 @@
             self.budget -= record.amount if code == Code.OK else 0
         verdict = Verdict(entry.seq, code, 0, available=self.budget, fenced=fenced)
         ticket = epoch.writer.take_verdict(verdict)
-        self.treasury.take_ticket(epoch, ticket)
+        self.budgets.take_ticket(epoch, ticket)
 
     async def run(self) -> None:
         while True:
@@ -55,7 +55,7 @@
 
     async def reserve(self, amount: int):
         deadline = trio.current_time() + 10
-        return await self.treasury.reserve("acc", SETTINGS, amount, deadline)
+        return await self.budgets.reserve("acc", SETTINGS, amount, deadline)
 
 
 @pytest.fixture
@@ -71,7 +71,7 @@
         nursery_scope.start_soon(book.run)
         held = await book.reserve(30)
         assert held.amount == 30
-        assert book.treasury.epoch.hand("acc").available == 70
+        assert book.budgets.epoch.hand("acc").available == 70
 
     async def test_exhausted_budget_is_refused_with_its_code(
         self, autojump_clock, nursery_scope
@@ -124,7 +124,7 @@
         assert second.try_expose(45)
         first.cover(45)
         second.cover(45)
-        assert book.treasury.epoch.hand("acc").exposed == 0
+        assert book.budgets.epoch.hand("acc").exposed == 0
 
     async def test_settles_once(self, autojump_clock, nursery_scope) -> None:
         book = Book(1000)
@@ -132,7 +132,7 @@
         held = await book.reserve(30)
         assert held.settle(20) == 20
         assert held.settle(5) == 0
-        assert book.treasury.epoch.hand("acc").spent == 20
+        assert book.budgets.epoch.hand("acc").spent == 20
 
     async def test_extends_only_from_the_hand(self, autojump_clock, nursery_scope) -> None:
         book = Book(100)
@@ -152,12 +152,12 @@
         async def reserve() -> None:
             held.append(await book.reserve(30))
 
-        nursery_scope.start_soon(book.treasury.run)
+        nursery_scope.start_soon(book.budgets.run)
         nursery_scope.start_soon(reserve)
         await trio.sleep(0.1)
         book.decide()
         await trio.sleep(0.1)
-        book.treasury.epoch.writer.submit(Heartbeat())
+        book.budgets.epoch.writer.submit(Heartbeat())
         book.decide(fenced=True)
         await trio.sleep(2)
         assert len(book.epochs) == 2
@@ -171,15 +171,15 @@
         nursery_scope.start_soon(book.run)
         (await book.reserve(30)).settle(30)
         await trio.sleep(5)
-        book.treasury.give_back("acc")
+        book.budgets.give_back("acc")
         assert book.records[-1] == Return("acc", 70)
-        assert book.treasury.epoch.hand("acc").available == 0
+        assert book.budgets.epoch.hand("acc").available == 0
 
     async def test_traffic_that_ends_gives_back(self, autojump_clock, nursery_scope) -> None:
         book = Book(100_000)
         nursery_scope.start_soon(book.run)
-        nursery_scope.start_soon(book.treasury.run)
+        nursery_scope.start_soon(book.budgets.run)
         for _ in range(50):
             (await book.reserve(100)).settle(100)
         await trio.sleep(25)
-        assert book.treasury.epoch.hand("acc").available <= 2 * SETTINGS.grant_min
+        assert book.budgets.epoch.hand("acc").available <= 2 * SETTINGS.grant_min
--- a/railtide/budgets/tests/test_losses.py
+++ b/railtide/budgets/tests/test_losses.py
@@ -25,7 +25,7 @@
 from railtide.budgets.allocation_sizing import LedgerOptions
 from railtide.budgets.errors import BudgetError
 from railtide.budgets.ledger import Ledger, committed, ledger_from_bytes
-from railtide.budgets.ledger_budget_source import LedgerTreasury
+from railtide.budgets.ledger_budget_source import LedgerBudgetSource
 from railtide.budgets.spend_limit import Clocks, Reading
 from railtide.configuration.models import AccountSettings
 from railtide.standins.keyed_store import MemoryStore
@@ -88,7 +88,7 @@
     async def _serve(self, name: str, idle_s: float) -> None:
         boot = f"{name}-{self._boots}"
         routers = len(self._names)
-        made = LedgerTreasury(
+        made = LedgerBudgetSource(
             self.store, name, boot, lambda: routers, OPTIONS, clocks=BootClocks(boot)
         )
         made.set_prepaid({ACCOUNT: self._budget})
@@ -100,7 +100,7 @@
                 nursery.start_soon(self._request, made)
                 await trio.sleep(AMOUNT / RATE)
 
-    async def _request(self, made: LedgerTreasury) -> None:
+    async def _request(self, made: LedgerBudgetSource) -> None:
         self.asked += AMOUNT
         try:
             reserved = await made.reserve(ACCOUNT, SETTINGS, AMOUNT, trio.current_time() + 1)
--- a/railtide/budgets/tests/test_peer_reports.py
+++ b/railtide/budgets/tests/test_peer_reports.py
@@ -32,7 +32,7 @@
     SETTINGS,
     FakeClocks,
     ledger_of,
-    treasury_with,
+    make_source_with,
 )
 from railtide.standins.keyed_store import MemoryStore
 
@@ -135,7 +135,7 @@
     async def serve(self, name: str, life: str, boot: str, seconds: float) -> None:
         """Be a router for so long."""
         clocks = FakeClocks(boot, trio.current_time())
-        made = treasury_with(self.store, name, life, 2, clocks)
+        made = make_source_with(self.store, name, life, 2, clocks)
         made.set_prepaid({ACCOUNT: BUDGET})
         made.spread()
         with trio.move_on_after(seconds):
@@ -201,7 +201,7 @@
     async def test_append_under_way_proves_nothing_yet(self, autojump_clock) -> None:
         """The other's report is made while an append of this router waits to be done."""
         store = MemoryStore()
-        made = treasury_with(store, "i1", "1", 2, FakeClocks("own"))
+        made = make_source_with(store, "i1", "1", 2, FakeClocks("own"))
         async with trio.open_nursery() as nursery:
             nursery.start_soon(made.run)
             (await made.reserve(ACCOUNT, SETTINGS, 10, trio.current_time() + 1)).settle(10)
@@ -257,7 +257,7 @@
         while True:
             self._lives += 1
             clocks = FakeClocks(f"boot-{self._lives}", trio.current_time() - rng.uniform(0, 9))
-            made = treasury_with(self.store, name, str(self._lives), 3, clocks)
+            made = make_source_with(self.store, name, str(self._lives), 3, clocks)
             made.spread()
             with trio.move_on_after(rng.uniform(0.5, 6.0)):
                 async with trio.open_nursery() as nursery:
--- a/railtide/budgets/tests/test_report_identity.py
+++ b/railtide/budgets/tests/test_report_identity.py
@@ -25,7 +25,7 @@
     ledger_from_bytes,
     ledger_to_bytes,
 )
-from railtide.budgets.ledger_budget_source import LedgerTreasury
+from railtide.budgets.ledger_budget_source import LedgerBudgetSource
 from railtide.budgets.peer_reports import PeerReports
 from railtide.budgets.spend_limit import NO_READING, Reading, SpendLimit, units_at
 from railtide.budgets.tests.test_ledger_budget_source import (
@@ -34,7 +34,7 @@
     SETTINGS,
     FakeClocks,
     ledger_of,
-    treasury_with,
+    make_source_with,
 )
 from railtide.journal.keyed import KeyedPage
 from railtide.journal.transfer import Transfer
@@ -72,7 +72,7 @@
 class Spender:
     """Callers of one account at one router."""
 
-    def __init__(self, made: LedgerTreasury, account: str = ACCOUNT) -> None:
+    def __init__(self, made: LedgerBudgetSource, account: str = ACCOUNT) -> None:
         self.spent = 0
         self._made = made
         self._account = account
@@ -99,9 +99,9 @@
         """Before peers returned hands 991 of 1,000 units were spent; 1,201 with it."""
         store = MemoryStore()
         way = CutStore(store)
-        peer = treasury_with(store, "i1", "1", 2, FakeClocks("own"))
-        cut = treasury_with(way, "i2", "1", 2, FakeClocks("b1"))
-        second = treasury_with(store, "i2", "2", 2, FakeClocks("b2"), address="elsewhere:1")
+        peer = make_source_with(store, "i1", "1", 2, FakeClocks("own"))
+        cut = make_source_with(way, "i2", "1", 2, FakeClocks("b1"))
+        second = make_source_with(store, "i2", "2", 2, FakeClocks("b2"), address="elsewhere:1")
         at_peer, at_cut, at_second = Spender(peer), Spender(cut), Spender(second)
         async with trio.open_nursery() as nursery:
             for made in (peer, cut):
@@ -175,7 +175,7 @@
         """The process spent 51 units beyond the limit by which its successor would bound it."""
         store = MemoryStore()
         clocks = FakeClocks("own")
-        made = treasury_with(store, "i1", "1", 0, clocks)
+        made = make_source_with(store, "i1", "1", 0, clocks)
         made.set_prepaid({ACCOUNT: 1000, OTHER_ACCOUNT: 200_000})
         made.spread()
         callers = Spender(made, OTHER_ACCOUNT)
--- a/railtide/budgets/tests/test_returned_bounds.py
+++ b/railtide/budgets/tests/test_returned_bounds.py
@@ -15,13 +15,13 @@
 
 from railtide.budgets.errors import BudgetError
 from railtide.budgets.ledger import Holding, Ledger, ledger_from_bytes
-from railtide.budgets.ledger_budget_source import LedgerTreasury
+from railtide.budgets.ledger_budget_source import LedgerBudgetSource
 from railtide.budgets.tests.test_ledger_budget_source import (
     ACCOUNT,
     OPTIONS,
     SETTINGS,
     FakeClocks,
-    treasury_with,
+    make_source_with,
 )
 from railtide.budgets.tests.test_peer_reports import Losses
 
@@ -50,7 +50,7 @@
         while True:
             self._lives += 1
             clocks = FakeClocks(f"boot-{self._lives}", trio.current_time() - rng.uniform(0, 9))
-            made = treasury_with(self.store, name, str(self._lives), len(NAMES), clocks)
+            made = make_source_with(self.store, name, str(self._lives), len(NAMES), clocks)
             made.set_prepaid({ACCOUNT: BUDGET})
             made.spread()
             with trio.move_on_after(rng.uniform(4.0, 25.0)):
@@ -64,14 +64,14 @@
         await trio.sleep(self._rng.uniform(0.0, 60.0))
         clocks.set_by_s = self._rng.uniform(-5.0, 5.0)
 
-    async def _call(self, made: LedgerTreasury, incarnation: str) -> None:
+    async def _call(self, made: LedgerBudgetSource, incarnation: str) -> None:
         self.used_by_incarnation[incarnation] = 0
         async with trio.open_nursery() as nursery:
             while True:
                 nursery.start_soon(self._spend, made, incarnation)
                 await trio.sleep(self._rng.uniform(0.1, 0.2))
 
-    async def _spend(self, made: LedgerTreasury, incarnation: str) -> None:
+    async def _spend(self, made: LedgerBudgetSource, incarnation: str) -> None:
         amount = self._rng.randint(1, 25)
         try:
             reserved = await made.reserve(ACCOUNT, SETTINGS, amount, trio.current_time() + 1)
--- a/railtide/budgets/tests/test_rollback.py
+++ b/railtide/budgets/tests/test_rollback.py
@@ -16,7 +16,7 @@
     ledger_from_bytes,
     ledger_to_bytes,
 )
-from railtide.budgets.ledger_budget_source import LedgerTreasury
+from railtide.budgets.ledger_budget_source import LedgerBudgetSource
 from railtide.budgets.ledger_partition import CLOSED_S
 from railtide.budgets.rollback import OPENINGS_KEY
 from railtide.budgets.spend_limit import Reading, SpendLimit
@@ -25,14 +25,14 @@
     OPTIONS,
     SETTINGS,
     ledger_of,
-    treasury,
+    make_source,
 )
 from railtide.standins.keyed_store import MemoryStore
 
 KNOWN_S = 1.0
 
 
-async def spend(made: LedgerTreasury, amount: int) -> int:
+async def spend(made: LedgerBudgetSource, amount: int) -> int:
     """Return what a request of this cost has spent, 0 if it is refused."""
     try:
         reserved = await made.reserve(ACCOUNT, SETTINGS, amount, trio.current_time() + 1.0)
@@ -41,12 +41,12 @@
     return reserved.settle(amount)
 
 
-async def run_later(made: LedgerTreasury, after_s: float) -> None:
+async def run_later(made: LedgerBudgetSource, after_s: float) -> None:
     await trio.sleep(after_s)
     await made.run()
 
 
-def held(made: LedgerTreasury) -> int:
+def held(made: LedgerBudgetSource) -> int:
     return made._account(ACCOUNT).hand.granted
 
 
@@ -54,7 +54,7 @@
     async def test_units_of_the_lost_seconds_are_not_granted_again(self, autojump_clock) -> None:
         """The router that holds them is away for most of the time that is left to it."""
         store = MemoryStore(era=1)
-        made, other = treasury(store, "i1"), treasury(store, "i2")
+        made, other = make_source(store, "i1"), make_source(store, "i2")
         async with trio.open_nursery() as nursery:
             nursery.start_soon(other.run)
             await trio.sleep(KNOWN_S)
@@ -75,7 +75,7 @@
     async def test_holding_is_said_again_at_once(self, autojump_clock) -> None:
         """Also where the last report was a moment ago, and no other would be due."""
         store = MemoryStore(era=1)
-        made = treasury(store)
+        made = make_source(store)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(made.run)
             await trio.sleep(KNOWN_S)
@@ -90,7 +90,7 @@
 
     async def test_hand_serves_and_nothing_is_granted_for_a_time(self, autojump_clock) -> None:
         store = MemoryStore(era=1)
-        made = treasury(store)
+        made = make_source(store)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(made.run)
             made.spread()
@@ -113,7 +113,7 @@
 
     async def test_account_of_the_lost_seconds_is_not_granted_at_once(self, autojump_clock) -> None:
         store = MemoryStore(era=1)
-        made = treasury(store)
+        made = make_source(store)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(made.run)
             await trio.sleep(KNOWN_S)
@@ -125,7 +125,7 @@
 
     async def test_units_returned_in_the_lost_seconds_are_held_once(self, autojump_clock) -> None:
         store = MemoryStore(era=1)
-        made, other = treasury(store, "i1"), treasury(store, "i2")
+        made, other = make_source(store, "i1"), make_source(store, "i2")
         async with trio.open_nursery() as nursery:
             nursery.start_soon(made.run)
             nursery.start_soon(other.run)
@@ -154,7 +154,7 @@
     @pytest.mark.parametrize("is_in_the_copy", [True, False])
     async def test_holding_of_a_dead_router(self, autojump_clock, is_in_the_copy: bool) -> None:
         store = MemoryStore(era=1)
-        made, dying = treasury(store, "i1"), treasury(store, "i2")
+        made, dying = make_source(store, "i1"), make_source(store, "i2")
         async with trio.open_nursery() as nursery:
             nursery.start_soon(made.run)
             copy = store.copy()
@@ -180,7 +180,7 @@
     ) -> None:
         """Others have written as many records in the new era as there were in the former one."""
         store = MemoryStore(era=1)
-        made = treasury(store, "i1")
+        made = make_source(store, "i1")
         async with trio.open_nursery() as nursery:
             nursery.start_soon(made.run)
             await trio.sleep(KNOWN_S)
@@ -206,7 +206,7 @@
         self, autojump_clock, is_shown: bool
     ) -> None:
         store = MemoryStore(era=1)
-        made = treasury(store)
+        made = make_source(store)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(made.run)
             await trio.sleep(KNOWN_S)
@@ -229,7 +229,7 @@
 
     async def test_it_is_not_tried_again_at_an_offset_of_the_next_era(self, autojump_clock) -> None:
         store = MemoryStore(era=1)
-        made = treasury(store)
+        made = make_source(store)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(made.run)
             await trio.sleep(KNOWN_S)
@@ -253,7 +253,7 @@
         closed = Ledger(closed=100, billed=10, unproved={"b": dead})
         used = []
         for is_risen in (False, True):
-            hand = treasury(MemoryStore(era=1), boot="own")._account(ACCOUNT)
+            hand = make_source(MemoryStore(era=1), boot="own")._account(ACCOUNT)
             own_append = hand._holder.clocks.read()
             for ledger in (Ledger(), alive):
                 hand.take_ledger(ledger, own_append)
@@ -268,7 +268,7 @@
 class TestWithoutEras:
     async def test_nothing_is_closed(self, autojump_clock) -> None:
         store = MemoryStore()
-        made = treasury(store)
+        made = make_source(store)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(made.run)
             await trio.sleep(OPTIONS.tend_s)
@@ -283,7 +283,7 @@
     async def test_no_unit_is_spent_twice(self, autojump_clock, seed: int) -> None:
         rng = Random(seed)
         store = MemoryStore(era=1)
-        made = [treasury(store, name, routers=3) for name in ("i1", "i2", "i3")]
+        made = [make_source(store, name, routers=3) for name in ("i1", "i2", "i3")]
         totals: list[int] = []
         async with trio.open_nursery() as nursery:
             for router in made:
@@ -301,7 +301,7 @@
         assert sum(own.spent for own in ledger.by_instance.values()) == sum(totals)
 
     @staticmethod
-    async def _call(router: LedgerTreasury, rng: Random, totals: list[int]) -> None:
+    async def _call(router: LedgerBudgetSource, rng: Random, totals: list[int]) -> None:
         for _ in range(60):
             totals.append(await spend(router, rng.randint(1, 30)))
             await trio.sleep(rng.uniform(0.0, 0.6))
--- a/railtide/budgets/tests/test_shortfalls.py
+++ b/railtide/budgets/tests/test_shortfalls.py
@@ -18,7 +18,7 @@
 from railtide.budgets.allocation_sizing import LedgerOptions
 from railtide.budgets.errors import BudgetError, BudgetUnavailable
 from railtide.budgets.ledger import Holding, Ledger, ledger_to_bytes
-from railtide.budgets.ledger_budget_source import LedgerTreasury
+from railtide.budgets.ledger_budget_source import LedgerBudgetSource
 from railtide.budgets.shortfalls import (
     RENEW_S,
     SILENT_S,
@@ -35,14 +35,14 @@
     ACCOUNT,
     SETTINGS,
     ledger_of,
-    treasury,
+    make_source,
 )
 from railtide.standins.keyed_store import MemoryStore
 
 OPTIONS = LedgerOptions()
 
 
-async def serve(made: LedgerTreasury, amount: int, times: int, every_s: float) -> None:
+async def serve(made: LedgerBudgetSource, amount: int, times: int, every_s: float) -> None:
     """Spend an amount again and again."""
     for _ in range(times):
         until = trio.current_time() + 1
@@ -59,9 +59,11 @@
 class TestRecall:
     """Of 1,000 units 600 are spent; one router had the traffic and holds most of a half."""
 
-    async def _two_routers(self, nursery: trio.Nursery, store: MemoryStore) -> list[LedgerTreasury]:
+    async def _two_routers(
+        self, nursery: trio.Nursery, store: MemoryStore
+    ) -> list[LedgerBudgetSource]:
         store.put(OPTIONS.topic, ACCOUNT, ledger_to_bytes(Ledger(closed=400, billed=400)))
-        made = [treasury(store, name, routers=2, boot=name) for name in ("i1", "i2")]
+        made = [make_source(store, name, routers=2, boot=name) for name in ("i1", "i2")]
         for each in made:
             each.spread()
             nursery.start_soon(each.run)
@@ -117,7 +119,7 @@
         async with trio.open_nursery() as nursery:
             holder, _ = await self._two_routers(nursery, store)
             held = in_hand(store, "i1")
-            dead = LedgerTreasury(store, "i3", "i3-1", lambda: 2, OPTIONS)
+            dead = LedgerBudgetSource(store, "i3", "i3-1", lambda: 2, OPTIONS)
             dead.set_prepaid({ACCOUNT: 1000})
             with trio.move_on_after(1):
                 async with trio.open_nursery() as life:
@@ -152,7 +154,7 @@
     given_up: int = 0
     served: int = 0
 
-    async def call(self, made: LedgerTreasury, amount: int) -> None:
+    async def call(self, made: LedgerBudgetSource, amount: int) -> None:
         """Be a caller that comes back once after the time that it is told."""
         for attempt in range(2):
             try:
@@ -174,7 +176,7 @@
         """Have ten calls a second, one in four nine times as large; all move after eight."""
         store = MemoryStore()
         store.delay_s = 0.004
-        made = [treasury(store, name, routers=2, boot=name) for name in ("i1", "i2")]
+        made = [make_source(store, name, routers=2, boot=name) for name in ("i1", "i2")]
         async with trio.open_nursery() as nursery:
             for each in made:
                 each.set_prepaid({ACCOUNT: 2_400})
@@ -231,10 +233,10 @@
         """Of 1,000 units 220 are left, half of them in two hands; callers of both ask for 180."""
         store = MemoryStore()
         store.put(OPTIONS.topic, ACCOUNT, ledger_to_bytes(Ledger(closed=500, billed=500)))
-        made = [treasury(store, name, routers=2, boot=name) for name in ("i1", "i2")]
+        made = [make_source(store, name, routers=2, boot=name) for name in ("i1", "i2")]
         served = []
 
-        async def call(router: LedgerTreasury) -> None:
+        async def call(router: LedgerBudgetSource) -> None:
             for _ in range(2):
                 try:
                     await router.reserve(ACCOUNT, SETTINGS, 180, trio.current_time() + 9)
@@ -264,7 +266,7 @@
         need = Need(300, count=1)
         lacking = Holding("i2-1", granted=1, need=need)
         store.put(OPTIONS.topic, ACCOUNT, ledger_to_bytes(Ledger(700, 700, {"i2": lacking})))
-        made = treasury(store, "i1", routers=2)
+        made = make_source(store, "i1", routers=2)
         made.spread()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(made.run)
--- a/railtide/edge/node.py
+++ b/railtide/edge/node.py
@@ -7,7 +7,7 @@
 import trio
 from loguru import logger
 
-from railtide.budgets.ledger_budget_source import LedgerTreasury
+from railtide.budgets.ledger_budget_source import LedgerBudgetSource
 from railtide.budgets.spend_limit import Clocks
 from railtide.clocks import Suspensions
 from railtide.configuration.errors import InvalidObject
@@ -65,7 +65,7 @@
     options : EdgeOptions
     rng : random.Random
     clocks : Clocks, optional
-        See `LedgerTreasury`.
+        See `LedgerBudgetSource`.
     suspensions : Suspensions, optional
         The machine's own unless given.
 
@@ -117,10 +117,10 @@
             rng,
             self._load.per_second,
             lambda: self._freshness.is_behind(),
-            lambda: self.treasury.read_ends(),
+            lambda: self.budgets.read_ends(),
             lambda: self._pools.limit_news(),
         )
-        self.treasury = LedgerTreasury(
+        self.budgets = LedgerBudgetSource(
             store,
             identity.instance,
             identity.incarnation,
@@ -132,7 +132,7 @@
             identity.address,
             RosterPeers(self.roster),
         )
-        self.roster.on_heard = self.treasury.note_peers
+        self.roster.on_heard = self.budgets.note_peers
         self._pools = EdgePools(
             identity.instance,
             self.roster,
@@ -186,14 +186,14 @@
             self._retries_of,
             Replays(),
             self.counters,
-            lambda: self.treasury.reachable,
+            lambda: self.budgets.reachable,
             None,
             self._start_soon,
-            ledger_cover_maker(self.treasury.count_bill),
+            ledger_cover_maker(self.budgets.count_bill),
             pass_through_relay,
             CrashGuard(self._crashes, self._ends),
         )
-        self._dispatcher = Dispatcher(self.treasury, self.schedulers_by_pool.get, services)
+        self._dispatcher = Dispatcher(self.budgets, self.schedulers_by_pool.get, services)
 
     # -- life ---------------------------------------------------------------------------------
 
@@ -210,7 +210,7 @@
     def serves(self) -> bool:
         """True once configuration, upstreams and budgets are known, until the shutdown."""
         known = self.snapshot is not None and self.upstreams_known
-        return known and self.treasury.ready and self._marks_known() and not self.leaving
+        return known and self.budgets.ready and self._marks_known() and not self.leaving
 
     def _marks_known(self) -> bool:
         """Return whether it is known which contents end upstreams, or that can't be read now.
@@ -238,7 +238,7 @@
             nursery.start_soon(self._run_settling)
             nursery.start_soon(self._crashes.run)
             nursery.start_soon(self._say_when_ready)
-            nursery.start_soon(self.treasury.run)
+            nursery.start_soon(self.budgets.run)
             nursery.start_soon(self._run_spreading)
             nursery.start_soon(partial(self.roster.run, lambda: self.serves))
 
@@ -254,7 +254,7 @@
             while self.open_calls:
                 await trio.sleep(DRAIN_TICK_S)
         with trio.move_on_after(RETURN_S):
-            await self.treasury.give_back_all()
+            await self.budgets.give_back_all()
         logger.bind(open_calls=self.open_calls).info("left")
 
     async def _run_spreading(self) -> None:
@@ -262,7 +262,7 @@
         while not self.roster.caught_up:
             await trio.sleep(self.options.settle_s)
         await trio.sleep(self.options.roster.dead_after_s)
-        self.treasury.spread()
+        self.budgets.spread()
 
     async def _say_when_ready(self) -> None:
         while not self.ready:
@@ -372,7 +372,7 @@
             logger.bind(version=snapshot.version, held=held).info("configuration-older")
             return
         self.snapshot = snapshot
-        self.treasury.set_prepaid(dict(snapshot.prepaid_by_account))
+        self.budgets.set_prepaid(dict(snapshot.prepaid_by_account))
         self._pools.set_configuration(snapshot.pool_by_name)
         self.on_snapshot(snapshot)
         logger.bind(version=snapshot.version, before=held).info("configuration-in-force")
--- a/railtide/edge/tests/rollback_fleet.py
+++ b/railtide/edge/tests/rollback_fleet.py
@@ -12,7 +12,7 @@
 
 from railtide.budgets.allocation_sizing import LedgerOptions
 from railtide.budgets.errors import BudgetError
-from railtide.budgets.ledger_budget_source import LedgerTreasury
+from railtide.budgets.ledger_budget_source import LedgerBudgetSource
 from railtide.budgets.spend_limit import Clocks, Reading
 from railtide.configuration.models import AccountSettings
 from railtide.edge.peers import RosterPeers
@@ -138,7 +138,7 @@
     lives: int = 0
     clocks: SteppedClocks = field(default_factory=lambda: SteppedClocks(""))
     store: RouterStore | None = None
-    treasury: LedgerTreasury | None = None
+    budgets: LedgerBudgetSource | None = None
     roster: Roster | None = None
     scope: trio.CancelScope | None = None
 
@@ -154,9 +154,9 @@
             member,
             RosterOptions(),
             self.rng,
-            read_ends=lambda: self.treasury.read_ends(),
+            read_ends=lambda: self.budgets.read_ends(),
         )
-        self.treasury = LedgerTreasury(
+        self.budgets = LedgerBudgetSource(
             self.store,
             self.name,
             life,
@@ -167,13 +167,13 @@
             address=f"{self.name}:1",
             peers=RosterPeers(self.roster),
         )
-        self.roster.on_heard = self.treasury.note_peers
-        self.treasury.set_prepaid({ACCOUNT: PREPAID})
-        self.treasury.spread()
+        self.roster.on_heard = self.budgets.note_peers
+        self.budgets.set_prepaid({ACCOUNT: PREPAID})
+        self.budgets.spread()
         with trio.CancelScope() as self.scope:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self.treasury.run)
-                nursery.start_soon(self.roster.run, lambda: self.treasury.ready)
+                nursery.start_soon(self.budgets.run)
+                nursery.start_soon(self.roster.run, lambda: self.budgets.ready)
                 await trio.sleep_forever()
 
     def _sharing(self) -> int:
@@ -183,18 +183,18 @@
         """End its process; nothing that it knew is left."""
         if self.scope:
             self.scope.cancel()
-        self.scope, self.treasury = None, None
+        self.scope, self.budgets = None, None
 
     async def spend(self, amount: int) -> int:
         """Run a request and return what it cost, 0 if it was refused."""
-        made = self.treasury
+        made = self.budgets
         if made is None:
             return 0
         try:
             reserved = await made.reserve(ACCOUNT, SETTINGS, amount, trio.current_time() + 1.0)
         except BudgetError:
             return 0
-        if self.treasury is not made:
+        if self.budgets is not made:
             return 0  # killed while it waited
         cost = reserved.settle(amount)
         self.spent += cost
--- a/railtide/platform/tests/test_narrow_store.py
+++ b/railtide/platform/tests/test_narrow_store.py
@@ -168,12 +168,12 @@
         """Their reads go on for longer, beside others; that the store is away is known before."""
         link = NarrowLink(LINK_BYTES_PER_S)
         async with world(link=link) as w:
-            await until(lambda: w.node.roster.is_named() and w.node.treasury.reachable)
+            await until(lambda: w.node.roster.is_named() and w.node.budgets.reachable)
             link.hold()
-            await until(lambda: not w.node.treasury.reachable, NOTICE_S)
+            await until(lambda: not w.node.budgets.reachable, NOTICE_S)
             link.lose_open()
             link.pass_on()
-            await until(lambda: w.node.treasury.reachable, NOTICE_S)
+            await until(lambda: w.node.budgets.reachable, NOTICE_S)
 
 
 class TestTrickle:
--- a/railtide/platform/tests/test_whole_path.py
+++ b/railtide/platform/tests/test_whole_path.py
@@ -365,7 +365,7 @@
     async def test_request_without_a_cost_needs_no_ledger(self) -> None:
         async with world() as w:
             await w.add_engine("e1")
-            for part in w.node.treasury.partitions:
+            for part in w.node.budgets.partitions:
                 part.loaded = False
             assert not w.node.ready
             assert (await w.ask("/once/x", body=b"b")).status == 200
--- a/railtide/requests/cover.py
+++ b/railtide/requests/cover.py
@@ -16,7 +16,7 @@
 from opentelemetry import trace
 
 from railtide.budgets.errors import ExposureReached
-from railtide.budgets.log_budget_source import Reservation
+from railtide.budgets.log_budget_source import LogReservation
 from railtide.journal.entries import Code, Verdict
 from railtide.journal.writer import Ticket
 from railtide.requests.call import Call
@@ -111,11 +111,11 @@
     Parameters
     ----------
     call : Call
-    reservation : Reservation
+    reservation : LogReservation
     services : Services
     """
 
-    def __init__(self, call: Call, reservation: Reservation, services: Services) -> None:
+    def __init__(self, call: Call, reservation: LogReservation, services: Services) -> None:
         self._call = call
         self._reservation = reservation
         self._services = services
@@ -284,6 +284,6 @@
             await ticket.wait_at_most(left)
 
 
-def log_cover(call: Call, reservation: Reservation, services: Services) -> Cover:
+def log_cover(call: Call, reservation: LogReservation, services: Services) -> Cover:
     """Return the cover of a request whose intent and bill go to the log one by one."""
     return LogCover(call, reservation, services)
--- a/railtide/requests/dispatcher.py
+++ b/railtide/requests/dispatcher.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 
 from railtide.budgets.errors import BudgetError
-from railtide.budgets.log_budget_source import Treasury
+from railtide.budgets.log_budget_source import LogBudgetSource
 from railtide.lanes.errors import LaneError, NoUpstream
 from railtide.lanes.scheduler import PoolScheduler
 from railtide.requests.call import AnswerSink, Call
@@ -25,7 +25,7 @@
 
     Parameters
     ----------
-    treasury : Treasury
+    budgets : LogBudgetSource
     scheduler_of : callable
         Returns the scheduler of a pool, or None for an unknown pool.
     services : Services
@@ -33,11 +33,11 @@
 
     def __init__(
         self,
-        treasury: Treasury,
+        budgets: LogBudgetSource,
         scheduler_of: Callable[[str], PoolScheduler | None],
         services: Services,
     ) -> None:
-        self._treasury = treasury
+        self._budgets = budgets
         self._scheduler_of = scheduler_of
         self._services = services
 
@@ -79,7 +79,7 @@
         if scheduler is None:
             raise NoUpstream("the pool has no upstream", retry_after=RETRY_AFTER_S)
         await self._services.guard.check(call.content)
-        reservation = await self._treasury.reserve(
+        reservation = await self._budgets.reserve(
             call.account, call.settings, call.reserve, call.deadline
         )
         await Execution(call, reservation, scheduler, self._services, sink).run()
@@ -89,7 +89,7 @@
         if not self._services.log_reachable():
             return
         record = Lookup(call.account, call.key, call.digest)
-        ticket = self._treasury.epoch.writer.submit(record)
+        ticket = self._budgets.epoch.writer.submit(record)
         verdict = await ticket.wait_at_most(self._services.options.commit_wait_s)
         if verdict is not None and not verdict.ok and not verdict.fenced:
             raise KnownAnswer(answer_of_verdict(verdict))
--- a/railtide/requests/execution.py
+++ b/railtide/requests/execution.py
@@ -7,7 +7,7 @@
 from loguru import logger
 from opentelemetry import trace
 
-from railtide.budgets.log_budget_source import Reservation
+from railtide.budgets.log_budget_source import LogReservation
 from railtide.budgets.messages import Waste
 from railtide.containment.ends import UpstreamRun
 from railtide.containment.errors import ContentHeld
@@ -59,7 +59,7 @@
     Parameters
     ----------
     call : Call
-    reservation : Reservation
+    reservation : LogReservation
     scheduler : PoolScheduler
         Of the call's pool.
     services : Services
@@ -70,7 +70,7 @@
     def __init__(
         self,
         call: Call,
-        reservation: Reservation,
+        reservation: LogReservation,
         scheduler: PoolScheduler,
         services: Services,
         sink: AnswerSink,
--- a/railtide/requests/ledger_cover.py
+++ b/railtide/requests/ledger_cover.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from railtide.budgets.budget_source import Reserved
+from railtide.budgets.budget_source import BudgetReservation
 from railtide.journal.writer import Ticket
 from railtide.requests.call import Call
 from railtide.requests.cover import Cover
@@ -53,14 +53,14 @@
         return 0
 
     def bill(self, record: Bill) -> None:
-        """Count the bill; the treasury writes the sums."""
+        """Count the bill; the budget source writes the sums."""
         self._count_bill(self._call.account)
 
 
 def ledger_cover_maker(count_bill: Callable[[str], None]) -> Callable[..., Cover]:
     """Return a maker of covers that count their bills with `count_bill`."""
 
-    def make(call: Call, reservation: Reserved, services: Services) -> Cover:
+    def make(call: Call, reservation: BudgetReservation, services: Services) -> Cover:
         return LedgerCover(call, count_bill)
 
     return make
--- a/railtide/requests/recovery.py
+++ b/railtide/requests/recovery.py
@@ -5,7 +5,7 @@
 import trio
 from loguru import logger
 
-from railtide.budgets.log_budget_source import Treasury
+from railtide.budgets.log_budget_source import LogBudgetSource
 from railtide.lanes.scheduler import PoolScheduler
 from railtide.membership.instances import Instance
 from railtide.requests.answers import END_MARK, StreamChecker, usage_of_body
@@ -30,7 +30,7 @@
 
     Parameters
     ----------
-    treasury : Treasury
+    budgets : LogBudgetSource
         Whose writer adopts and bills.
     scheduler_of : callable
         Returns the scheduler of a pool, for its upstreams.
@@ -43,14 +43,14 @@
 
     def __init__(
         self,
-        treasury: Treasury,
+        budgets: LogBudgetSource,
         scheduler_of: Callable[[str], PoolScheduler | None],
         prices_of: Callable[[str], Prices],
         upstreams: UpstreamClient,
         options: RequestOptions,
         counters: Counters,
     ) -> None:
-        self._treasury = treasury
+        self._budgets = budgets
         self._scheduler_of = scheduler_of
         self._prices_of = prices_of
         self._upstreams = upstreams
@@ -70,7 +70,7 @@
 
     async def _adopt_and_settle(self, orphan: OrphanMessage) -> None:
         """Settle an orphan under one holder; if that ends meanwhile, others are handed it."""
-        writer = self._treasury.epoch.writer
+        writer = self._budgets.epoch.writer
         patience_s = self._options.recovery_timeout_s
         verdict = await writer.submit(Adopt(orphan.request_id)).wait_at_most(patience_s)
         if verdict is None or not verdict.ok:
--- a/railtide/requests/services.py
+++ b/railtide/requests/services.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from railtide.budgets.log_budget_source import Reservation
+from railtide.budgets.log_budget_source import LogReservation
 from railtide.configuration.models import AccountSettings
 from railtide.containment.guard import ContentGuard, NoGuard
 from railtide.requests.options import RequestOptions
@@ -31,7 +31,7 @@
     retries_of : callable
         Returns the retry budget of a pool.
     extend : callable
-        Adds to a reservation; see `Treasury.extend`.
+        Adds to a reservation; see `LogBudgetSource.extend`.
     start_soon : callable
         Runs an async function without arguments in the background.
     make_cover, make_relay : callable
@@ -46,7 +46,7 @@
     replays: Replays
     counters: Counters
     log_reachable: Callable[[], bool]
-    extend: Callable[[Reservation, AccountSettings, int, float], Awaitable[bool]]
+    extend: Callable[[LogReservation, AccountSettings, int, float], Awaitable[bool]]
     start_soon: Callable[[Callable[[], Awaitable[None]]], None]
     make_cover: Callable[..., "Cover"]
     make_relay: Callable[..., "Relay"]
--- a/railtide/requests/tests/test_cover.py
+++ b/railtide/requests/tests/test_cover.py
@@ -3,7 +3,7 @@
 import pytest
 import trio
 
-from railtide.budgets.log_budget_source import Epoch, Reservation
+from railtide.budgets.log_budget_source import Epoch, LogReservation
 from railtide.configuration.models import AccountSettings
 from railtide.journal.entries import Code, Verdict
 from railtide.journal.writer import Writer
@@ -68,7 +68,7 @@
             None,
             None,
         )
-        self.cover = LogCover(call_with(key), Reservation(epoch, "a", 10), services)
+        self.cover = LogCover(call_with(key), LogReservation(epoch, "a", 10), services)
 
     def decide(self, code: str = Code.OK, **more: object) -> None:
         seq = self.writer.pending()[0].seq
--- a/railtide/requests/tests/test_recovery.py
+++ b/railtide/requests/tests/test_recovery.py
@@ -2,7 +2,7 @@
 
 import trio
 
-from railtide.budgets.log_budget_source import Epoch, Treasury
+from railtide.budgets.log_budget_source import Epoch, LogBudgetSource
 from railtide.journal.entries import Code, Entry, Verdict, record_of
 from railtide.journal.writer import Writer
 from railtide.lanes.scheduler import PoolScheduler
@@ -32,10 +32,10 @@
         self.fenced = False
         scheduler = PoolScheduler(RoundRobin())
         scheduler.set_upstreams([Instance(n, "1", n, "a", "engine", "p") for n in words])
-        treasury = Treasury(self._open, lambda: True, lambda settings: 1)
-        treasury.begin()
+        budgets = LogBudgetSource(self._open, lambda: True, lambda settings: 1)
+        budgets.begin()
         self.recovery = Recovery(
-            treasury, {"p": scheduler}.get, lambda pool: Prices(1, 2), self, OPTIONS, Counters()
+            budgets, {"p": scheduler}.get, lambda pool: Prices(1, 2), self, OPTIONS, Counters()
         )
 
     def _open(self) -> Epoch:
--- a/railtide/router/router.py
+++ b/railtide/router/router.py
@@ -6,7 +6,7 @@
 import trio
 from loguru import logger
 
-from railtide.budgets.log_budget_source import Epoch, Treasury
+from railtide.budgets.log_budget_source import Epoch, LogBudgetSource
 from railtide.configuration.directory import Directory
 from railtide.configuration.errors import StaleConfiguration
 from railtide.configuration.messages import Kind
@@ -87,7 +87,7 @@
         self._fresh_at: float | None = None
         self._nursery: trio.Nursery | None = None
         self._epoch_by_holder: dict[str, Epoch] = {}
-        self.treasury = Treasury(self._open_epoch, self._log_reachable, self._holders)
+        self.budgets = LogBudgetSource(self._open_epoch, self._log_reachable, self._holders)
         self._retries = RetryBudget()
         self._services = Services(
             upstreams,
@@ -96,14 +96,14 @@
             Replays(),
             self.counters,
             self._log_reachable,
-            self.treasury.extend,
+            self.budgets.extend,
             self._start_soon,
             log_cover,
             engine_relay,
         )
-        self._dispatcher = Dispatcher(self.treasury, self.schedulers_by_pool.get, self._services)
+        self._dispatcher = Dispatcher(self.budgets, self.schedulers_by_pool.get, self._services)
         self._recovery = Recovery(
-            self.treasury,
+            self.budgets,
             self.schedulers_by_pool.get,
             self._prices_of,
             upstreams,
@@ -124,7 +124,7 @@
             async with trio.open_nursery() as nursery:
                 self._nursery = nursery
                 nursery.start_soon(self.uplink.run)
-                nursery.start_soon(self.treasury.run)
+                nursery.start_soon(self.budgets.run)
                 nursery.start_soon(self._run_heartbeats)
                 nursery.start_soon(self._run_loads)
         finally:
@@ -133,17 +133,17 @@
     async def drain(self) -> None:
         """Leave: be named to no caller, finish what is open, give back, close."""
         logger.info("draining")
-        if self.treasury.epoch is None:
+        if self.budgets.epoch is None:
             self.draining = True
             return
-        self.treasury.epoch.writer.submit(Leaving())
+        self.budgets.epoch.writer.submit(Leaving())
         await self._sleep_while_named()
         self.draining = True
         with trio.move_on_after(self.options.drain_s):
-            while self.open_calls or self.treasury.epoch.open_reservations:
+            while self.open_calls or self.budgets.epoch.open_reservations:
                 await trio.sleep(DRAIN_TICK_S)
-        self.treasury.give_back_all()
-        writer = self.treasury.epoch.writer
+        self.budgets.give_back_all()
+        writer = self.budgets.epoch.writer
         writer.closed = True
         closing = writer.submit(Close())
         await closing.wait_at_most(self.options.address_ttl_s)
@@ -156,7 +156,7 @@
     async def _run_heartbeats(self) -> None:
         while True:
             await trio.sleep(self.options.heartbeat_s)
-            epoch = self.treasury.epoch
+            epoch = self.budgets.epoch
             if epoch and not epoch.writer.pending():
                 epoch.writer.submit(Heartbeat())
 
@@ -202,7 +202,7 @@
             raise StaleConfiguration(
                 "this router is cut off for longer than the account allows", retry_after=SOON_S
             )
-        if self.treasury.epoch.writer.pending_bytes > self.options.pending_bytes:
+        if self.budgets.epoch.writer.pending_bytes > self.options.pending_bytes:
             raise BacklogFull("too many entries wait for the log", retry_after=SOON_S)
 
     def staleness(self) -> float:
@@ -276,7 +276,7 @@
             case MembersMessage():
                 self._on_members(message)
             case DemandMessage():
-                self.treasury.give_back(message.account)
+                self.budgets.give_back(message.account)
             case LogStatusMessage():
                 self._on_status(message)
             case OrphanMessage():
@@ -288,14 +288,14 @@
             return
         ticket = epoch.writer.take_verdict(message.verdict)
         if ticket:
-            self.treasury.take_ticket(epoch, ticket)
+            self.budgets.take_ticket(epoch, ticket)
         if epoch.writer.closed and not epoch.writer.pending():
             del self._epoch_by_holder[message.holder]
 
     def _on_status(self, message: LogStatusMessage) -> None:
         if message.reachable and message.caught_up:
             self._fresh_at = trio.current_time()
-            self.treasury.begin()
+            self.budgets.begin()
 
     def _on_members(self, message: MembersMessage) -> None:
         self._members = message.instances
--- a/railtide/router/status.py
+++ b/railtide/router/status.py
@@ -57,7 +57,7 @@
 
 def status_of(router: Router) -> RouterStatus:
     """Return a router's status."""
-    epoch = router.treasury.epoch
+    epoch = router.budgets.epoch
     staleness = router.staleness()
     return RouterStatus(
         instance=router.identity.instance,
@@ -68,9 +68,9 @@
         offset=router.uplink.status.offset,
         staleness_s=-1.0 if staleness == float("inf") else staleness,
         open_calls=router.open_calls,
-        grants=router.treasury.grants,
-        returns=router.treasury.returns,
-        budget_refusals=router.treasury.refusals,
+        grants=router.budgets.grants,
+        returns=router.budgets.returns,
+        budget_refusals=router.budgets.refusals,
         invalid_objects=router.directory.invalid,
         keeper_links=router.uplink.connects,
         versions=router.directory.versions(),
@@ -81,7 +81,7 @@
 
 
 def _hands(router: Router) -> list[HandStatus]:
-    epoch = router.treasury.epoch
+    epoch = router.budgets.epoch
     if epoch is None:
         return []
     return [
--- a/tests/matrix/test_single.py
+++ b/tests/matrix/test_single.py
@@ -236,7 +236,7 @@
             assert (await ask(world, "m", key="k")).answered
             request = chat("bortolini", "m", 10, False, "k")
             router = world.routers["i2"].router
-            router.treasury.reserve = self._exhausted
+            router.budgets.reserve = self._exhausted
             again = await world.attempt("i2", "bortolini", "m", request)
             assert again.answered
 
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -1087,8 +1087,8 @@
     Mutant(
         "router-serves-before-it-has-read-the-marks",
         "edge/node.py",
-        "known and self.treasury.ready and self._marks_known() and not self.leaving",
-        "known and self.treasury.ready and not self.leaving",
+        "known and self.budgets.ready and self._marks_known() and not self.leaving",
+        "known and self.budgets.ready and not self.leaving",
         (f"{PLATFORM}/test_waking.py",),
     ),
     Mutant(
