--- a/bench/policy.py
+++ b/bench/policy.py
@@ -66,12 +66,12 @@
             if folded.verdict.code == Code.BUDGET_EXHAUSTED:
                 for node in self.nodes.values():
                     if node.reachable:
-                        node.budgets.give_back(ACCOUNT)
+                        node.budgets.return_idle(ACCOUNT)
             node = self.nodes.get(folded.holder)
             if node:
                 writer = node.writers[0]
                 ticket = writer.take_verdict(folded.verdict)
-                node.budgets.take_ticket(node.budgets.epoch, ticket)
+                node.budgets.apply_grant_verdict(node.budgets.epoch, ticket)
 
     async def run(self) -> None:
         """Fold what nodes have written, every `LOG_S`."""
--- a/bench/refusals.py
+++ b/bench/refusals.py
@@ -17,8 +17,7 @@
 
 import msgspec
 
-from railtide.budgets.account_log import AccountState, RefusalCause
-from railtide.budgets.account_log import cause_of as cause_of_state
+from railtide.budgets.account_log import AccountState, RefusalCause, refusal_cause
 
 __all__ = ["Summary", "cause_of", "lines_of", "since", "state_of", "summary_of", "time_of"]
 
@@ -198,7 +197,7 @@
     >>> cause_of(Line(REFUSED, amount=10, reserved=35, prepaid=100, committed=98, reported=60))
     'requests under way at the router have reserved what is left'
     """
-    cause = line.cause or cause_of_state(
+    cause = line.cause or refusal_cause(
         state_of(line), line.amount, line.in_hand, line.store_reached, line.reserved
     )
     if cause is RefusalCause.SPENT and line.written_off is None:
--- a/bench/transfers.py
+++ b/bench/transfers.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from railtide.budgets.ledger import Holding, Ledger, ledger_from_bytes, ledger_to_bytes
-from railtide.budgets.spend_limit import Reading, SpendLimit
+from railtide.budgets.spend_limit import ClockReading, SpendLimit
 from railtide.containment.blame import blamed
 from railtide.containment.evidence import Mark
 from railtide.containment.records import record_key, record_value
@@ -96,7 +96,7 @@
 
 
 def ledger(holders: int) -> tuple[str, bytes]:
-    limit = SpendLimit(Reading("b" * 36, 123456.7, 1.79e9), 1_234_567, 12_345, 1_234, 0.5)
+    limit = SpendLimit(ClockReading("b" * 36, 123456.7, 1.79e9), 1_234_567, 12_345, 1_234, 0.5)
     by_instance = {
         f"edge-region-1-{number:04}": Holding(
             f"{number:012x}", 1_234_567, 1_234_000, 12_345, limit, None, "10.12.34.56:8080"
--- a/railtide/budgets/account_budget.py
+++ b/railtide/budgets/account_budget.py
@@ -10,12 +10,12 @@
 from railtide.budgets.account_log import (
     AccountState,
     LineSchedule,
-    cause_of,
     proof_of,
+    refusal_cause,
     state_of,
 )
-from railtide.budgets.allocation import Hand, reserve, take_back
-from railtide.budgets.allocation_limits import HandBounds
+from railtide.budgets.allocation import Allocation, reserve, take_back
+from railtide.budgets.allocation_limits import AllocationLimits
 from railtide.budgets.allocation_sizing import (
     Traffic,
     ahead_units,
@@ -42,10 +42,10 @@
     units_charged,
     written_off,
 )
-from railtide.budgets.partition_view import HandPlace, OpenPlace
+from railtide.budgets.partition_view import PartitionView, StandalonePartition
 from railtide.budgets.peer_reports import PeerReports
 from railtide.budgets.process_context import Holder
-from railtide.budgets.shortfall_tracker import HandNeeds
+from railtide.budgets.shortfall_tracker import ShortfallTracker
 from railtide.budgets.shortfalls import (
     is_renewal_due,
     soon_units,
@@ -53,9 +53,9 @@
     units_for_callers,
     units_to_return,
 )
-from railtide.budgets.spend_limit import NO_READING, Reading, SpendLimit
+from railtide.budgets.spend_limit import NO_CLOCK_READING, ClockReading, SpendLimit
 
-__all__ = ["AccountHand", "HandChange"]
+__all__ = ["AccountBudget", "LedgerChange"]
 
 NEED_RETRIES = 2
 """For how many times the wait that a refused caller is told its units are asked for: it comes over
@@ -63,7 +63,7 @@
 
 
 @dataclass(frozen=True)
-class HandChange:
+class LedgerChange:
     """A change of one account's ledger by this process.
 
     `granted` is what it grants to the process, `former` the holding that it closes of the process
@@ -77,7 +77,7 @@
     ledger: Ledger
 
 
-class AccountHand:
+class AccountBudget:
     """One account's hand.
 
     Parameters
@@ -88,7 +88,7 @@
         Has the ledger read and changed now.
     horizon_s : callable
         Returns for how many seconds of traffic the hand is to last now.
-    place : HandPlace, optional
+    place : PartitionView, optional
         The partition of the account's ledger.
 
     Attributes
@@ -99,7 +99,7 @@
         Whether the ledger was read once.
     billed_requests : int
         Requests billed so far.
-    bounds : HandBounds
+    bounds : AllocationLimits
     """
 
     def __init__(
@@ -108,19 +108,19 @@
         holder: Holder,
         ask: Callable[[], None],
         horizon_s: Callable[[], float],
-        place: HandPlace | None = None,
+        place: PartitionView | None = None,
     ) -> None:
         self.account = account
-        self.hand = Hand()
-        self._place = place or OpenPlace()
-        self.bounds = HandBounds(self.hand, holder, self._place)
+        self.allocation = Allocation()
+        self._place = place or StandalonePartition()
+        self.bounds = AllocationLimits(self.allocation, holder, self._place)
         self.prepaid: int | None = None
         self.loaded = False
         self.billed_requests = 0
         self._holder = holder
         self._options = holder.options
         self._traffic = Traffic()
-        self._needs = HandNeeds(holder.incarnation)
+        self._needs = ShortfallTracker(holder.incarnation)
         self._ledger = Ledger()
         self._ledger_at = -math.inf
         self._written = Holding(holder.incarnation)
@@ -142,7 +142,7 @@
 
     def try_reserve(self, amount: int) -> bool:
         """Reserve units if they are in hand and within what the process has bound itself to."""
-        if amount <= self._headroom() and reserve(self.hand, amount):
+        if amount <= self._headroom() and reserve(self.allocation, amount):
             self._needs.forget_refused(amount)
             return True
         return False
@@ -157,7 +157,7 @@
 
     def ask_if_low(self) -> None:
         """Have the hand refilled ahead of need."""
-        if is_low(self.hand.available, self._target(), self._options):
+        if is_low(self.allocation.available, self._target(), self._options):
             self._ask()
 
     async def wait_for(self, amount: int, until: float) -> bool:
@@ -178,7 +178,7 @@
 
     def _note_lack(self, amount: int) -> None:
         """Have others told that a caller comes back for units that lie in their hands."""
-        if self._is_fresh() and amount > self.hand.available and not self.is_spent(amount):
+        if self._is_fresh() and amount > self.allocation.available and not self.is_spent(amount):
             again_s = self._options.retry_after_s * NEED_RETRIES
             self._needs.note_refused(amount, trio.current_time() + again_s)
             self._ask()
@@ -187,7 +187,7 @@
         """Return whether no hand of any router can cover an amount, as of the last read."""
         if self.prepaid is None or not self.loaded:
             return False
-        own_unreported = self.hand.spent - self._written.spent
+        own_unreported = self.allocation.spent - self._written.spent
         return self._left() - own_unreported < amount
 
     def _is_fresh(self) -> bool:
@@ -197,32 +197,34 @@
     def set_prepaid(self, prepaid: int) -> None:
         """Take the budget in force; a lower one takes back what lies idle in the hand."""
         if self.prepaid is not None and prepaid < self.prepaid:
-            take_back(self.hand, self.hand.available)
+            take_back(self.allocation, self.allocation.available)
         self.prepaid = prepaid
         self._log_ledger()
         self._ask()
 
-    def give_back(self) -> None:
+    def return_unreserved(self) -> None:
         """Return all that no request has reserved."""
-        take_back(self.hand, self.hand.available)
+        take_back(self.allocation, self.allocation.available)
         self._ask()
 
     @property
     def is_returning(self) -> bool:
         """True while units are out of the hand and not yet out of the ledger."""
-        return self.hand.granted < self._written.granted
+        return self.allocation.granted < self._written.granted
 
     def log_refusal(self, amount: int, store_reached: bool, ledger_age_ms: int | None) -> None:
         """Say and count what a refusal rests on."""
         state = self._state()
-        cause = cause_of(state, amount, self.hand.available, store_reached, self.hand.reserved)
+        cause = refusal_cause(
+            state, amount, self.allocation.available, store_reached, self.allocation.reserved
+        )
         self._holder.counters.add(f"budget_refused_{cause.replace('-', '_')}")
         logger.bind(
             cause=cause,
             account=self.account,
             amount=amount,
-            in_hand=self.hand.available,
-            reserved=self.hand.reserved,
+            in_hand=self.allocation.available,
+            reserved=self.allocation.reserved,
             headroom=self._headroom(),
             prepaid=self.prepaid,
             committed=committed(self._ledger),
@@ -248,7 +250,7 @@
 
     # -- the ledger ---------------------------------------------------------------------------
 
-    def take_ledger(self, ledger: Ledger, own_append: Reading = NO_READING) -> None:
+    def take_ledger(self, ledger: Ledger, own_append: ClockReading = NO_CLOCK_READING) -> None:
         """Take the ledger as it was read now; see `PeerReports.observe`."""
         if not self.loaded:
             self._peers.forget()
@@ -282,7 +284,7 @@
         incarnation = self._holder.incarnation
         is_own = own is not None and own.incarnation == incarnation
         self._written = own if is_own else Holding(incarnation)
-        self._is_to_say_again = bool(self.hand.granted or self.hand.spent or is_own)
+        self._is_to_say_again = bool(self.allocation.granted or self.allocation.spent or is_own)
         self._peers.forget()
 
     @property
@@ -313,9 +315,9 @@
         fleet are such ones for most accounts, and look twice a second: with 40 accounts it took a
         third of an idle router's processor time.
         """
-        hand = self.hand
+        allocation = self.allocation
         is_unused = not (
-            self._traffic.typical or hand.granted or hand.spent or self._written.granted
+            self._traffic.typical or allocation.granted or allocation.spent or self._written.granted
         )
         return is_unused and not self._ledger.unproved and not self._holder.routers()
 
@@ -324,7 +326,7 @@
         self._changed.set()
         self._changed = trio.Event()
 
-    def plan(self) -> HandChange | None:
+    def plan(self) -> LedgerChange | None:
         """Return the next change of the ledger, or None if it needs none."""
         if not self.loaded:
             return None
@@ -335,7 +337,7 @@
         former = close_former(
             ledger, holder.instance, holder.incarnation, holder.started, holder.address
         )
-        take_back(self.hand, self._idle())
+        take_back(self.allocation, self._idle())
         own = self._holding()
         account_for(ledger, holder.instance, own)
         returned = {
@@ -351,23 +353,23 @@
         own.need = self._needs.next_need(lacking)
         own.limit = self._next_limit()
         account_for(ledger, holder.instance, own)
-        return HandChange(own, granted, former, returned, ledger)
+        return LedgerChange(own, granted, former, returned, ledger)
 
-    def _plan_saying(self, ledger: Ledger) -> HandChange | None:
+    def _plan_saying(self, ledger: Ledger) -> LedgerChange | None:
         """Return what this process says of itself in an era that is not open."""
         if not self._is_report_due():
             return None
         own = self._holding()
         own.limit = self._next_limit()
         account_for(ledger, self._holder.instance, own)
-        return HandChange(own, 0, None, {}, self._place.as_written(self.account, ledger))
+        return LedgerChange(own, 0, None, {}, self._place.as_written(self.account, ledger))
 
     def _holding(self) -> Holding:
         """Return what this process holds, as of now."""
         return Holding(
             self._holder.incarnation,
-            self.hand.granted,
-            self.hand.spent,
+            self.allocation.granted,
+            self.allocation.spent,
             self.billed_requests,
             address=self._holder.address,
             era=self._place.era,
@@ -392,9 +394,9 @@
         burst = burst_units(self._traffic, now, self._options) + sum(self._needs.waiting)
         return self.bounds.next_limit(burst, pace_units(self._traffic, now, self._options))
 
-    def take(self, change: HandChange) -> None:
+    def take(self, change: LedgerChange) -> None:
         """Take a change that is in the ledger now."""
-        self.hand.granted += change.granted
+        self.allocation.granted += change.granted
         self._written = change.holding
         self._reported_at = trio.current_time()
         self._is_to_say_again = False
@@ -418,7 +420,7 @@
             "former-hand-closed"
         )
 
-    def is_written(self, change: HandChange) -> bool:
+    def is_written(self, change: LedgerChange) -> bool:
         """Return whether the ledger as read has a change; only this process writes its holding."""
         return is_same_report(self._ledger.by_instance.get(self._holder.instance), change.holding)
 
@@ -426,15 +428,15 @@
         """Return the units that the ledger can grant of those wanted."""
         if self.prepaid is None or not self._is_wanting():
             return 0
-        missing = self._needs.missing(self.hand.available)
-        short = self._target() - self.hand.available - missing
+        missing = self._needs.missing(self.allocation.available)
+        short = self._target() - self.allocation.available - missing
         in_hands = committed(ledger) - reported_spend(ledger)
         ahead = max(0, self._most_ahead() - in_hands)
         kept = self._needs.kept_for_callers(trio.current_time())
         free = self.prepaid - committed(ledger) - missing - kept
         wanted = missing + max(0, min(short, ahead, free))
         waiting = self._needs.waiting
-        least = max(0, min(waiting) - self.hand.available) if waiting else 0
+        least = max(0, min(waiting) - self.allocation.available) if waiting else 0
         amount = grant(ledger, self.prepaid, wanted, least)
         if not amount:
             self._refill_refused_at = trio.current_time()
@@ -469,19 +471,19 @@
         """Return whether to ask for units; ahead of need not while a refusal is fresh."""
         if self._holder.leaving:
             return False
-        if self._needs.missing(self.hand.available) > 0:
+        if self._needs.missing(self.allocation.available) > 0:
             return True
         fresh = trio.current_time() - self._refill_refused_at < self._options.read_s
-        return not fresh and is_low(self.hand.available, self._target(), self._options)
+        return not fresh and is_low(self.allocation.available, self._target(), self._options)
 
     def _idle(self) -> int:
         """Return the units to give back: all at a shutdown, else what the traffic needs no more."""
         if self._holder.leaving:
-            return self.hand.available
+            return self.allocation.available
         if self.is_returning:
             return 0
         keep = self._target() + sum(self._needs.waiting)
-        idle = idle_units(self.hand.available, keep, self._traffic.typical, self._options)
+        idle = idle_units(self.allocation.available, keep, self._traffic.typical, self._options)
         return max(idle, self._recalled())
 
     # -- needs --------------------------------------------------------------------------------
@@ -490,7 +492,7 @@
         """Return the units that callers here lack together."""
         if self._holder.leaving:
             return 0
-        return self._needs.lacking(self.hand.available, trio.current_time())
+        return self._needs.lacking(self.allocation.available, trio.current_time())
 
     def _recalled(self) -> int:
         """Return the units in hand that others lack and the traffic here does not."""
@@ -499,9 +501,9 @@
         theirs = self._needs.of_others(lacking, now)
         if not theirs or self.prepaid is None:
             return 0
-        for_callers = units_for_callers(self.hand.available, self._needs.callers(now))
+        for_callers = units_for_callers(self.allocation.available, self._needs.callers(now))
         soon = 0 if lacking else self._soon()
-        spare = spare_units(self.hand.available, self._traffic.typical, soon, for_callers)
+        spare = spare_units(self.allocation.available, self._traffic.typical, soon, for_callers)
         return units_to_return(theirs, self.prepaid - committed(self._ledger), spare)
 
     def _is_need_due(self, lacking: int) -> bool:
@@ -518,7 +520,7 @@
     def _is_held_by_limit(self) -> bool:
         """Return whether a waiting request is in hand and beyond the limit."""
         least = min(self._needs.waiting, default=math.inf)
-        return self.bounds.within_limits() < least <= self.hand.available
+        return self.bounds.within_limits() < least <= self.allocation.available
 
     def _is_report_due(self) -> bool:
         """Return whether others should know what was spent, or the limit is to be renewed."""
@@ -526,5 +528,5 @@
             return True
         if trio.current_time() - self._reported_at < self._options.report_s:
             return False
-        is_growing = self.bounds.are_growing() and self.hand.available > 0
-        return is_growing or self.hand.spent != self._written.spent
+        is_growing = self.bounds.are_growing() and self.allocation.available > 0
+        return is_growing or self.allocation.spent != self._written.spent
--- a/railtide/budgets/account_log.py
+++ b/railtide/budgets/account_log.py
@@ -9,7 +9,7 @@
 from enum import StrEnum
 
 from railtide.budgets.ledger import Ledger, committed, reported_spend, written_off
-from railtide.budgets.spend_limit import Reading, SpendLimit, elapsed_s
+from railtide.budgets.spend_limit import ClockReading, SpendLimit, elapsed_s
 
 __all__ = [
     "AccountState",
@@ -18,7 +18,7 @@
     "LineSchedule",
     "Proof",
     "RefusalCause",
-    "cause_of",
+    "refusal_cause",
     "is_news",
     "proof_of",
     "state_of",
@@ -167,13 +167,13 @@
     since_report_s: float | None
 
 
-def proof_of(limit: SpendLimit | None, started: Reading) -> Proof:
+def proof_of(limit: SpendLimit | None, started: ClockReading) -> Proof:
     """Return what clocks prove of a limit for a process that started then.
 
     Examples
     --------
-    >>> limit = SpendLimit(Reading("boot", 10.0, 1000.0), used=100, burst=50, pace=20)
-    >>> proof_of(limit, Reading("another", 2.0, 1004.0)).clocks.value
+    >>> limit = SpendLimit(ClockReading("boot", 10.0, 1000.0), used=100, burst=50, pace=20)
+    >>> proof_of(limit, ClockReading("another", 2.0, 1004.0)).clocks.value
     'another-boot'
     """
     if limit is None:
@@ -185,7 +185,7 @@
         return Proof(ClockProof.PROVED, round(proved_s, 3))
     same_boot = limit.made.boot == started.boot
     clocks = ClockProof.CLOCKS_DISAGREE if same_boot else ClockProof.ANOTHER_BOOT
-    return Proof(clocks, round(started.day_s - limit.made.day_s, 3))
+    return Proof(clocks, round(started.wall_s - limit.made.wall_s, 3))
 
 
 class RefusalCause(StrEnum):
@@ -205,7 +205,7 @@
     IN_OTHER_HANDS_AWAY = "in-other-hands-store-away"
 
 
-def cause_of(
+def refusal_cause(
     state: AccountState | None, amount: int, in_hand: int, store_reached: bool, reserved: int = 0
 ) -> RefusalCause:
     """Return why an amount was refused.
@@ -223,7 +223,7 @@
     Examples
     --------
     >>> state = AccountState(100, spent=40, written_off=50, in_hands=0, left=10)
-    >>> cause_of(state, 20, 0, True).value
+    >>> refusal_cause(state, 20, 0, True).value
     'written-off'
     """
     if in_hand >= amount:
--- a/railtide/budgets/allocation.py
+++ b/railtide/budgets/allocation.py
@@ -6,11 +6,19 @@
 
 from dataclasses import dataclass
 
-__all__ = ["Hand", "can_expose", "expose", "reserve", "settle_reserve", "take_back", "unexpose"]
+__all__ = [
+    "Allocation",
+    "can_expose",
+    "expose",
+    "reserve",
+    "settle_reserve",
+    "take_back",
+    "unexpose",
+]
 
 
 @dataclass
-class Hand:
+class Allocation:
     """Units granted and what became of them."""
 
     granted: int = 0
@@ -25,46 +33,46 @@
         return self.granted - self.spent - self.reserved
 
 
-def reserve(hand: Hand, amount: int) -> bool:
+def reserve(allocation: Allocation, amount: int) -> bool:
     """Reserve units; False if not so many are available.
 
     Examples
     --------
-    >>> hand = Hand(granted=10)
+    >>> hand = Allocation(granted=10)
     >>> reserve(hand, 8), reserve(hand, 8)
     (True, False)
     """
-    if amount > hand.available:
+    if amount > allocation.available:
         return False
-    hand.reserved += amount
+    allocation.reserved += amount
     return True
 
 
-def settle_reserve(hand: Hand, amount: int, used: int) -> int:
+def settle_reserve(allocation: Allocation, amount: int, used: int) -> int:
     """End a reserve at what was used, at most the reserve; return the units spent."""
     spent = min(used, amount)
-    hand.reserved -= amount
-    hand.spent += spent
+    allocation.reserved -= amount
+    allocation.spent += spent
     return spent
 
 
-def take_back(hand: Hand, most: int) -> int:
+def take_back(allocation: Allocation, most: int) -> int:
     """Remove up to `most` available units from the hand, for a return; return how many."""
-    amount = max(0, min(most, hand.available))
-    hand.granted -= amount
+    amount = max(0, min(most, allocation.available))
+    allocation.granted -= amount
     return amount
 
 
-def can_expose(hand: Hand, amount: int) -> bool:
+def can_expose(allocation: Allocation, amount: int) -> bool:
     """Return whether so much more may be dispatched before its intent is durable."""
-    return hand.exposed + amount <= hand.exposure_limit
+    return allocation.exposed + amount <= allocation.exposure_limit
 
 
-def expose(hand: Hand, amount: int) -> None:
+def expose(allocation: Allocation, amount: int) -> None:
     """Count units as dispatched without a durable intent."""
-    hand.exposed += amount
+    allocation.exposed += amount
 
 
-def unexpose(hand: Hand, amount: int) -> None:
+def unexpose(allocation: Allocation, amount: int) -> None:
     """Count units as covered by a durable intent."""
-    hand.exposed -= amount
+    allocation.exposed -= amount
--- a/railtide/budgets/allocation_limits.py
+++ b/railtide/budgets/allocation_limits.py
@@ -2,48 +2,50 @@
 
 import math
 
-from railtide.budgets.allocation import Hand
-from railtide.budgets.partition_view import HandPlace
+from railtide.budgets.allocation import Allocation
+from railtide.budgets.partition_view import PartitionView
 from railtide.budgets.process_context import Holder
 from railtide.budgets.rollback import unread_units
 from railtide.budgets.spend_limit import SpendLimit, units_at, wait_s
 from railtide.budgets.unread_reports import UnreadReports
 
-__all__ = ["HandBounds"]
+__all__ = ["AllocationLimits"]
 
 
-class HandBounds:
+class AllocationLimits:
     """The limits on one hand.
 
     Parameters
     ----------
-    hand : Hand
+    hand : Allocation
     holder : Holder
-    place : HandPlace
+    place : PartitionView
 
     Attributes
     ----------
     reports : UnreadReports
     """
 
-    def __init__(self, hand: Hand, holder: Holder, place: HandPlace) -> None:
+    def __init__(self, allocation: Allocation, holder: Holder, place: PartitionView) -> None:
         self.reports = UnreadReports()
-        self._hand = hand
+        self._allocation = allocation
         self._holder = holder
         self._place = place
         self._limits: list[SpendLimit] = []
 
     def headroom(self, prepaid: int) -> int:
         """Return the units that may be reserved now, of a budget of `prepaid` units."""
-        hand = self._hand
-        return min(self.within_limits(), self._readable(prepaid) - hand.spent - hand.reserved)
+        allocation = self._allocation
+        return min(
+            self.within_limits(), self._readable(prepaid) - allocation.spent - allocation.reserved
+        )
 
     def within_limits(self) -> int:
         """Return the units that the limits leave, or that are in hand if that is less."""
-        hand = self._hand
+        allocation = self._allocation
         now_s = self._holder.clocks.read().steady_s
         allowed = [units_at(limit, now_s - limit.made.steady_s) for limit in self._limits]
-        return min([hand.granted, *allowed]) - hand.spent - hand.reserved
+        return min([allocation.granted, *allowed]) - allocation.spent - allocation.reserved
 
     def _readable(self, prepaid: int) -> float:
         """Return the units that may be used in all, by what the others have read.
@@ -53,7 +55,7 @@
         """
         if not self._place.era:
             return math.inf
-        end = self._place.read_up_to()
+        end = self._place.min_read_offset()
         self.reports.note_read(end)
         if math.isinf(end):
             return math.inf
@@ -62,10 +64,10 @@
 
     def wait_s(self, amount: int) -> float | None:
         """Return when the limits allow an amount that is in hand, seconds; None if it is not."""
-        hand = self._hand
-        if amount > hand.available or not self._limits:
+        allocation = self._allocation
+        if amount > allocation.available or not self._limits:
             return None
-        used = hand.spent + hand.reserved + amount
+        used = allocation.spent + allocation.reserved + amount
         now_s = self._holder.clocks.read().steady_s
         waits_s = [wait_s(limit, used, now_s - limit.made.steady_s) for limit in self._limits]
         return max(waits_s) if math.isfinite(max(waits_s)) else None
@@ -79,7 +81,7 @@
         made = self._holder.clocks.read()
         if not made.boot:
             return None
-        used = self._hand.spent + self._hand.reserved
+        used = self._allocation.spent + self._allocation.reserved
         limit = SpendLimit(made, used, burst, pace, self._holder.options.pace_after_s)
         self._limits = [*self._limits[:1], limit]
         return limit
--- a/railtide/budgets/allocation_sizing.py
+++ b/railtide/budgets/allocation_sizing.py
@@ -42,7 +42,7 @@
     swings : float
         Standard deviations of that traffic that a hand holds besides: a hand of the mean alone runs
         dry within its horizon as often as not.
-    most_share : float
+    max_preallocated_share : float
         Most of what is left of a budget that lies in the hands of all routers together ahead of
         need: what a loss of power of all of them writes off.
     loss_share : float
@@ -107,7 +107,7 @@
     partitions: int = 1
     horizon_s: float = 10.0
     swings: float = 1.5
-    most_share: float = 0.5
+    max_preallocated_share: float = 0.5
     loss_share: float = 0.4
     growth: float = 1.75
     spread_share: float = 0.04
@@ -244,7 +244,7 @@
 
     Examples
     --------
-    >>> options = LedgerOptions(most_share=0.5, loss_share=0.4)
+    >>> options = LedgerOptions(max_preallocated_share=0.5, loss_share=0.4)
     >>> ahead_units(200, prepaid=1000, written_off=0, options=options)
     100
     >>> ahead_units(900, prepaid=1000, written_off=0, options=options)
@@ -253,7 +253,7 @@
     100
     """
     may_be_lost = max(0.0, prepaid * options.loss_share - written_off)
-    return round(min(left * options.most_share, may_be_lost))
+    return round(min(left * options.max_preallocated_share, may_be_lost))
 
 
 def target_units(
@@ -270,7 +270,7 @@
     The routers that callers are sent to share the part that is spread. With `routers` 0 this is
     another one: it keeps something only for an account whose callers use it all the same.
     `horizon_s` is what there is now of the horizon of the options, all of it unless given; `most`
-    is what may lie in all hands, `most_share` of what is left unless given.
+    is what may lie in all hands, `max_preallocated_share` of what is left unless given.
 
     Examples
     --------
@@ -294,7 +294,7 @@
     seen_s = (now - traffic.began_at) * options.growth
     needed *= min(1.0, seen_s / options.horizon_s)
     grown = 1.0 if horizon_s is None else horizon_s / options.horizon_s
-    most = round(left * options.most_share) if most is None else most
+    most = round(left * options.max_preallocated_share) if most is None else most
     target = min(max(needed, ahead), most)
     least = traffic.typical * options.least_requests
     return round(max(target * grown, least)) if target >= least else 0
--- a/railtide/budgets/balance.py
+++ b/railtide/budgets/balance.py
@@ -10,7 +10,7 @@
     "bill_late",
     "close_holding",
     "fence_holding",
-    "give_back",
+    "return_units",
     "grant",
     "open_reserve",
     "settle",
@@ -96,7 +96,7 @@
     return True
 
 
-def give_back(balance: Balance, holder: str, amount: int) -> bool:
+def return_units(balance: Balance, holder: str, amount: int) -> bool:
     """Return unreserved units to the budget; False if the holder has not that many.
 
     A fence has already given back what its holder returned meanwhile, so a late return of a
--- a/railtide/budgets/ledger.py
+++ b/railtide/budgets/ledger.py
@@ -15,11 +15,11 @@
 
 import msgspec
 
-from railtide.budgets.shortfalls import Need
-from railtide.budgets.spend_limit import COUNT, Reading, SpendLimit, most_used
+from railtide.budgets.shortfalls import Shortfall
+from railtide.budgets.spend_limit import COUNT, ClockReading, SpendLimit, most_used
 
 __all__ = [
-    "Base",
+    "LedgerOrigin",
     "Holding",
     "Ledger",
     "account_for",
@@ -51,7 +51,7 @@
         Requests billed as far as reported.
     limit : SpendLimit or None
         What the process binds itself to from this report on.
-    need : Need or None
+    need : Shortfall or None
         What the process lacks and could not be granted.
     address : str
         Where the process listens; empty if it is not known.
@@ -66,13 +66,13 @@
     spent: Annotated[int, COUNT] = 0
     requests: Annotated[int, COUNT] = 0
     limit: SpendLimit | None = None
-    need: Need | None = None
+    need: Shortfall | None = None
     address: str = ""
     era: Annotated[int, COUNT] = 0
     read: Annotated[int, COUNT] = 0
 
 
-class Base(msgspec.Struct, array_like=True, frozen=True):
+class LedgerOrigin(msgspec.Struct, array_like=True, frozen=True):
     """Where the record stood that a ledger was written again from.
 
     Attributes
@@ -105,7 +105,7 @@
         not know this field, and drops it, only leaves it there.
     opened : int
         The era in which it was written while grants could be made; 0 without eras.
-    base : Base or None
+    base : LedgerOrigin or None
         What it rests on, if it was written again in a later era and not opened in it yet.
     """
 
@@ -114,7 +114,7 @@
     by_instance: dict[str, Holding] = {}
     unproved: dict[str, Holding] = {}
     opened: Annotated[int, COUNT] = 0
-    base: Base | None = None
+    base: LedgerOrigin | None = None
 
 
 _encoder = msgspec.msgpack.Encoder()
@@ -172,7 +172,7 @@
 
 
 def close_former(
-    ledger: Ledger, instance: str, incarnation: str, started: Reading, address: str = ""
+    ledger: Ledger, instance: str, incarnation: str, started: ClockReading, address: str = ""
 ) -> Holding | None:
     """Close the holding of an instance's former process and return it; None if there is none.
 
@@ -188,7 +188,7 @@
         Changed in place.
     instance, incarnation : str
         Of this process.
-    started : Reading
+    started : ClockReading
         The clocks when this process began.
     address : str, optional
         Where this process listens.
@@ -238,7 +238,7 @@
     return returned
 
 
-def units_charged(former: Holding, started: Reading) -> int:
+def units_charged(former: Holding, started: ClockReading) -> int:
     """Return the units of a dead process's holding that count as spent; see `close_former`."""
     return max(former.spent, most_used(former.limit, former.granted, started))
 
@@ -260,7 +260,7 @@
     return _report_of(one) == _report_of(other)
 
 
-def _report_of(holding: Holding) -> tuple[str, int, int, int, Reading | None]:
+def _report_of(holding: Holding) -> tuple[str, int, int, int, ClockReading | None]:
     made = holding.limit.made if holding.limit else None
     return holding.incarnation, holding.granted, holding.spent, holding.requests, made
 
--- a/railtide/budgets/ledger_budget_source.py
+++ b/railtide/budgets/ledger_budget_source.py
@@ -11,8 +11,8 @@
 import xxhash
 from loguru import logger
 
-from railtide.budgets.account_budget import AccountHand
-from railtide.budgets.allocation import Hand, settle_reserve
+from railtide.budgets.account_budget import AccountBudget
+from railtide.budgets.allocation import Allocation, settle_reserve
 from railtide.budgets.allocation_sizing import LedgerOptions
 from railtide.budgets.budget_source import BudgetReservation, BudgetSource
 from railtide.budgets.errors import BudgetExhausted, BudgetUnavailable
@@ -45,10 +45,10 @@
     """Units of a hand kept back for one request."""
 
     def __init__(
-        self, hand: Hand, amount: int, on_spent: Callable[[], None] = lambda: None
+        self, allocation: Allocation, amount: int, on_spent: Callable[[], None] = lambda: None
     ) -> None:
         self.amount = amount
-        self._hand = hand
+        self._allocation = allocation
         self._on_spent = on_spent
         self._settled = False
 
@@ -57,7 +57,7 @@
         if self._settled:
             return 0
         self._settled = True
-        spent = settle_reserve(self._hand, self.amount, used)
+        spent = settle_reserve(self._allocation, self.amount, used)
         if spent:
             self._on_spent()
         return spent
@@ -127,7 +127,7 @@
             LedgerPartition(store, index, self._holder, self._rng)
             for index in range(options.partitions)
         ]
-        self._by_account: dict[str, AccountHand] = {}
+        self._by_account: dict[str, AccountBudget] = {}
 
     @property
     def ready(self) -> bool:
@@ -143,20 +143,20 @@
         """True unless the store did not answer a partition's last call."""
         return all(part.reachable for part in self.partitions)
 
-    def spread(self) -> None:
+    def enable_preallocation(self) -> None:
         """Keep hands ahead of need from now on, since the number of routers is known."""
         self._holder.spreading = True
         for part in self.partitions:
             part.ask()
 
-    def read_ends(self) -> tuple[int, ...]:
+    def read_offsets(self) -> tuple[int, ...]:
         """Return up to which offset each partition was read, in the store's era."""
         return tuple(part.read_end for part in self.partitions)
 
-    def note_peers(self) -> None:
+    def recheck_waiting(self) -> None:
         """Have requests that wait for others to read a report look again."""
         for part in self.partitions:
-            part.note_peers()
+            part.recheck_waiting()
 
     # -- reserving ----------------------------------------------------------------------------
 
@@ -165,7 +165,7 @@
     ) -> LedgerReservation:
         """Return a reservation; see `BudgetSource.reserve`."""
         if amount == 0:
-            return LedgerReservation(Hand(), 0)
+            return LedgerReservation(Allocation(), 0)
         known = self._account(account)
         known.note(amount)
         if known.try_reserve(amount):
@@ -179,8 +179,8 @@
             raise self._refusal(known, amount)
         return self._reserved(known, amount)
 
-    def _reserved(self, known: AccountHand, amount: int) -> LedgerReservation:
-        return LedgerReservation(known.hand, amount, partial(self._note_spent, known.account))
+    def _reserved(self, known: AccountBudget, amount: int) -> LedgerReservation:
+        return LedgerReservation(known.allocation, amount, partial(self._note_spent, known.account))
 
     def _note_spent(self, account: str) -> None:
         """Say when the first request with a cost has ended: from then on budgets are in use."""
@@ -194,7 +194,7 @@
         """Return whether the store would not answer a question for a grant."""
         return part.loaded and not (part.reachable and self._store_reached())
 
-    def _refusal(self, known: AccountHand, amount: int) -> BudgetExhausted | BudgetUnavailable:
+    def _refusal(self, known: AccountBudget, amount: int) -> BudgetExhausted | BudgetUnavailable:
         self.refusals += 1
         part = self._partition(known.account)
         known.log_refusal(amount, part.reachable, part.ledger_age_ms)
@@ -208,7 +208,7 @@
             retry_after=self._retry_after_s(part, known, amount),
         )
 
-    def _retry_after_s(self, part: LedgerPartition, known: AccountHand, amount: int) -> float:
+    def _retry_after_s(self, part: LedgerPartition, known: AccountBudget, amount: int) -> float:
         if not part.is_open():
             return max(self._options.retry_after_s, part.closed_left_s())
         if not self._is_away(part):
@@ -239,18 +239,18 @@
             for part in self.partitions:
                 nursery.start_soon(part.run)
 
-    async def give_back_all(self) -> None:
+    async def return_all(self) -> None:
         """Return all that no request has reserved, for a graceful shutdown."""
         self._holder.leaving = True
         for known in self._by_account.values():
-            known.give_back()
+            known.return_unreserved()
         while any(known.is_returning for known in self._by_account.values()):
             await trio.sleep(RETURN_TICK_S)
 
-    def _account(self, account: str) -> AccountHand:
+    def _account(self, account: str) -> AccountBudget:
         known = self._by_account.get(account)
         if known is None:
-            known = self._partition(account).hand(account)
+            known = self._partition(account).budget(account)
             self._by_account[account] = known
         return known
 
--- a/railtide/budgets/ledger_partition.py
+++ b/railtide/budgets/ledger_partition.py
@@ -17,17 +17,17 @@
 import trio
 from loguru import logger
 
-from railtide.budgets.account_budget import AccountHand, HandChange
+from railtide.budgets.account_budget import AccountBudget, LedgerChange
 from railtide.budgets.allocation_sizing import Horizon, LedgerOptions
 from railtide.budgets.ledger import Ledger, ledger_from_bytes, ledger_to_bytes
 from railtide.budgets.outages import Outages, note_reached, remaining_s
-from railtide.budgets.partition_view import HandPlace
-from railtide.budgets.peers import Life
+from railtide.budgets.partition_view import PartitionView
+from railtide.budgets.peers import ProcessKey
 from railtide.budgets.process_context import Holder
 from railtide.budgets.rollback import (
     OPENINGS_KEY,
+    EraOpening,
     Known,
-    Opening,
     carried,
     held_back_share,
     later_of,
@@ -37,7 +37,7 @@
     openings_to_bytes,
     with_all_held_back,
 )
-from railtide.budgets.spend_limit import NO_READING, Reading
+from railtide.budgets.spend_limit import NO_CLOCK_READING, ClockReading
 from railtide.budgets.unread_reports import Report
 from railtide.journal.errors import EraRisen, LogUnavailable, RecordsExpired
 from railtide.journal.keyed import AppendConflict, KeyedPage, KeyedRecord, KeyedStore
@@ -87,10 +87,10 @@
     """
 
     expected_end: int
-    change_by_account: dict[str, HandChange]
+    change_by_account: dict[str, LedgerChange]
     ledger_by_account: dict[str, Ledger]
     values: dict[str, bytes]
-    made: Reading
+    made: ClockReading
     report_by_account: dict[str, Report] = field(default_factory=dict)
 
     @property
@@ -99,7 +99,7 @@
         return self.expected_end + len(self.values)
 
 
-class LedgerPartition(HandPlace):
+class LedgerPartition(PartitionView):
     """Tends the hands of the accounts whose ledgers are in one partition.
 
     Parameters
@@ -111,7 +111,7 @@
 
     Attributes
     ----------
-    hand_by_account : dict of str to AccountHand
+    hand_by_account : dict of str to AccountBudget
     loaded, reachable : bool
         Whether the ledgers were read once, and whether the store answered last.
     conflicts : int
@@ -119,7 +119,7 @@
     """
 
     def __init__(self, store: KeyedStore, index: int, holder: Holder, rng: Random) -> None:
-        self.hand_by_account: dict[str, AccountHand] = {}
+        self.budget_by_account: dict[str, AccountBudget] = {}
         self.loaded = False
         self.reachable = False
         self.conflicts = 0
@@ -133,8 +133,8 @@
         self._known_by_account: dict[str, Known] = {}
         self._opened_by_account: dict[str, _Opened] = {}
         self._to_carry: set[str] = set()
-        self._read_by_life: dict[Life, int] = {}
-        self._openings: list[Opening] = []
+        self._read_by_life: dict[ProcessKey, int] = {}
+        self._openings: list[EraOpening] = []
         self._has_risen = False
         self._was_open = False
         self._closed_since = trio.current_time()
@@ -142,19 +142,19 @@
         self._unsure: _Append | None = None
         self._planned_at: dict[str, float] = {}
         self._read_at = -math.inf
-        self._own_append = NO_READING
+        self._own_append = NO_CLOCK_READING
         self._is_former = False
         self._asked = trio.Event()
         self._outages = Outages(self._options.horizon_s)
         self._horizon = Horizon(self._options.horizon_s, at=trio.current_time())
         store.on_rise(self._note_rise)
 
-    def hand(self, account: str) -> AccountHand:
+    def budget(self, account: str) -> AccountBudget:
         """Return the hand of an account of this partition."""
-        known = self.hand_by_account.get(account)
+        known = self.budget_by_account.get(account)
         if known is None:
-            known = AccountHand(account, self._holder, self.ask, self._horizon_s, self)
-            self.hand_by_account[account] = known
+            known = AccountBudget(account, self._holder, self.ask, self._horizon_s, self)
+            self.budget_by_account[account] = known
             if self.loaded and account not in self._unreadable:
                 known.take_ledger(self._ledger_of(account))
         return known
@@ -177,22 +177,22 @@
         is_opened = bool(self._openings) and self._openings[-1].era == self._store.era
         return is_opened and not self._is_former
 
-    def read_up_to(self) -> float:
+    def min_read_offset(self) -> float:
         """Return up to which offset all other routers in use have read the partition."""
         if self._store.era is None:
             return math.inf
-        return self._holder.peers.read_up_to(self._index, self._read_by_life)
+        return self._holder.peers.min_read_offset(self._index, self._read_by_life)
 
     @property
     def read_end(self) -> int:
         """Up to which offset this process has read the partition in the store's era."""
         return 0 if self._is_former or not self.loaded else self._end
 
-    def note_peers(self) -> None:
+    def recheck_waiting(self) -> None:
         """Have requests that wait for others to read a report look again."""
-        for hand in self.hand_by_account.values():
-            if hand.is_held_unread:
-                hand.wake()
+        for budget in self.budget_by_account.values():
+            if budget.is_held_unread:
+                budget.wake()
 
     def _note_rise(self) -> None:
         """Record that what was read and sent is of a former era of the store."""
@@ -201,8 +201,8 @@
         self._read_to_end = False
         self._read_by_life.clear()
         self._closed_since = trio.current_time()
-        for hand in self.hand_by_account.values():
-            hand.note_rise()
+        for budget in self.budget_by_account.values():
+            budget.note_rise()
         self.ask()
 
     def _ledger_of(self, account: str) -> Ledger:
@@ -212,8 +212,8 @@
             return known.ledger if known else Ledger()
         if known is None:
             return Ledger(opened=self.era)
-        hand = self.hand_by_account.get(account)
-        return self._opened_of(account, known, hand.prepaid if hand else None)
+        budget = self.budget_by_account.get(account)
+        return self._opened_of(account, known, budget.prepaid if budget else None)
 
     def _opened_of(self, account: str, known: Known, prepaid: int | None) -> Ledger:
         """Return a ledger as it is in the open era; it is made once, not at each read."""
@@ -245,12 +245,12 @@
             return None
         era, peers = self.era, self._holder.peers
         last = self._openings[-1].era if self._openings else 0
-        gone = peers.gone(era, last) if self._openings or self._has_risen else 0
-        is_known = not gone or (self._was_open and peers.knows_former(era, last))
+        gone = peers.lost_routers(era, last) if self._openings or self._has_risen else 0
+        is_known = not gone or (self._was_open and peers.heard_from_former(era, last))
         share = held_back_share(gone, self._holder.routers()) if is_known else 1.0
         if share and (append := self._plan_holding_back(share)):
             return append
-        opening = Opening(era, share if is_known else 0.0, gone, is_known)
+        opening = EraOpening(era, share if is_known else 0.0, gone, is_known)
         values = {OPENINGS_KEY: openings_to_bytes([*self._openings, opening])}
         return _Append(self._end, {}, {}, values, self._holder.clocks.read())
 
@@ -261,20 +261,20 @@
         since a ledger that is missing can't be told from a new one later.
         """
         ledgers: dict[str, Ledger] = {}
-        for account, hand in self.hand_by_account.items():
+        for account, budget in self.budget_by_account.items():
             known = self._known_by_account.get(account)
-            if hand.prepaid is None or (known and known.ledger.opened == self.era):
+            if budget.prepaid is None or (known and known.ledger.opened == self.era):
                 continue
             if share < 1.0 and known:
                 continue
-            ledgers[account] = self._held_back(known or least_known(), hand.prepaid, share)
+            ledgers[account] = self._held_back(known or least_known(), budget.prepaid, share)
             if len(ledgers) * len(ledger_to_bytes(ledgers[account])) >= APPEND_BYTES:
                 break
         return self._append_of({}, ledgers) if ledgers else None
 
     def _held_back(self, known: Known, prepaid: int, share: float) -> Ledger:
         if share < 1.0:
-            return opened(known.ledger, [Opening(self.era, share)], prepaid, self.era)
+            return opened(known.ledger, [EraOpening(self.era, share)], prepaid, self.era)
         return with_all_held_back(known.ledger, prepaid, self.era)
 
     @property
@@ -304,18 +304,18 @@
         return READING_S if self._is_held_unread() else self._options.tend_s
 
     def _is_held_unread(self) -> bool:
-        return any(hand.is_held_unread for hand in self.hand_by_account.values())
+        return any(budget.is_held_unread for budget in self.budget_by_account.values())
 
     def _is_waited_for(self) -> bool:
-        return any(hand.is_waited_for for hand in self.hand_by_account.values())
+        return any(budget.is_waited_for for budget in self.budget_by_account.values())
 
     async def _tend(self) -> None:
         idle = not self._holder.routers()
         read_s = self._options.idle_read_s if idle else self._options.read_s
         stale = trio.current_time() - self._read_at > read_s
-        hands = self.hand_by_account.values()
+        budgets = self.budget_by_account.values()
         due = self._unsure or stale or self._is_former or self._to_carry or self._is_opening_due()
-        if not (due or self._is_held_unread() or any(hand.is_due() for hand in hands)):
+        if not (due or self._is_held_unread() or any(budget.is_due() for budget in budgets)):
             return
         await self._read()
         while (append := self._unsure or self._plan()) is not None:
@@ -328,8 +328,8 @@
             aged = trio.current_time() - self._read_at > self._options.idle_read_s
             if aged or self._is_former:
                 await self._read()  # more may be due all the time than one call carries
-        for hand in self.hand_by_account.values():
-            hand.wake()
+        for budget in self.budget_by_account.values():
+            budget.wake()
 
     # -- reading ------------------------------------------------------------------------------
 
@@ -340,7 +340,7 @@
         self._end = page.end
         is_copy, self._is_former = self._is_former, False
         if is_copy:
-            self._own_append = NO_READING
+            self._own_append = NO_CLOCK_READING
         self.loaded = True
         self._take_records(page.records, is_copy)
         self._show_ledgers()
@@ -348,9 +348,9 @@
 
     def _show_ledgers(self) -> None:
         self._was_open |= self.is_open()
-        for account, hand in self.hand_by_account.items():
+        for account, budget in self.budget_by_account.items():
             if account not in self._unreadable:
-                hand.take_ledger(self._ledger_of(account), self._own_append)
+                budget.take_ledger(self._ledger_of(account), self._own_append)
 
     async def _read_page(self) -> KeyedPage:
         """Return what changed since the last read, or the newest records where that is less.
@@ -394,15 +394,15 @@
 
     def _take_records(self, records: Iterable[KeyedRecord], is_copy: bool) -> None:
         """Take records in their order; what is known and missing from a copy is to be carried."""
-        shown: set[str] = set()
+        seen_keys: set[str] = set()
         for record in records:
-            shown.add(record.key)
+            seen_keys.add(record.key)
             if record.key == OPENINGS_KEY:
                 self._take_openings(record.value)
             else:
                 self._take_record(record)
         if is_copy:
-            self._to_carry |= self._known_by_account.keys() - shown
+            self._to_carry |= self._known_by_account.keys() - seen_keys
 
     def _take_openings(self, value: bytes) -> None:
         """Take the eras that were opened; what a former era had is kept over a copy without it."""
@@ -429,7 +429,7 @@
             if account not in self._unreadable:
                 logger.bind(account=account, error=str(err)).error("ledger-unreadable")
             self._unreadable.add(account)
-            self.hand(account).loaded = False
+            self.budget(account).loaded = False
             return
         self._unreadable.discard(account)
         self._note_readers(read.ledger)
@@ -464,7 +464,7 @@
         self._unsure = None
         # An account in which this process holds nothing has no holding to tell it by.
         told = [
-            self.hand_by_account[account].is_written(change)
+            self.budget_by_account[account].is_written(change)
             for account, change in append.change_by_account.items()
             if change.holding.granted or change.holding.spent
         ]
@@ -496,22 +496,22 @@
                 ledger = append.ledger_by_account[account]
                 self._known_by_account[account] = Known(ledger, append.expected_end + number)
                 self._to_carry.discard(account)
-        for account in append.ledger_by_account.keys() & self.hand_by_account.keys():
-            hand = self.hand_by_account[account]
-            hand.take_ledger(self._ledger_of(account), self._own_append)
+        for account in append.ledger_by_account.keys() & self.budget_by_account.keys():
+            budget = self.budget_by_account[account]
+            budget.take_ledger(self._ledger_of(account), self._own_append)
         self._take(append, append.end)
 
     def _take(self, append: _Append, end: float) -> None:
         self._own_append = append.made
         for account, change in append.change_by_account.items():
-            hand = self.hand_by_account[account]
+            budget = self.budget_by_account[account]
             append.report_by_account[account].end = end
-            hand.take(change)
-            hand.wake()
+            budget.take(change)
+            budget.wake()
 
     def _drop_reports(self, append: _Append) -> None:
         for account, report in append.report_by_account.items():
-            self.hand_by_account[account].bounds.reports.drop(report)
+            self.budget_by_account[account].bounds.reports.drop(report)
 
     def _plan(self) -> _Append | None:
         """Return the next append, None if nothing is due; what it does not hold is in a later one.
@@ -521,12 +521,12 @@
         """
         if not self.is_open() and (opening := self._plan_opening()):
             return opening
-        changes: dict[str, HandChange] = {}
+        changes: dict[str, LedgerChange] = {}
         ledgers: dict[str, Ledger] = {}
         size = 0
-        for account in sorted(self.hand_by_account.keys() | self._to_carry, key=self._turn):
-            hand = self.hand_by_account.get(account)
-            change = hand.plan() if hand else None
+        for account in sorted(self.budget_by_account.keys() | self._to_carry, key=self._turn):
+            budget = self.budget_by_account.get(account)
+            change = budget.plan() if budget else None
             if change:
                 changes[account] = change
                 ledgers[account] = change.ledger
@@ -554,21 +554,21 @@
             return ledger
         return carried(Known(ledger, known.offset), self.era)
 
-    def _append_of(self, changes: dict[str, HandChange], ledgers: dict[str, Ledger]) -> _Append:
+    def _append_of(self, changes: dict[str, LedgerChange], ledgers: dict[str, Ledger]) -> _Append:
         values = {account: ledger_to_bytes(ledger) for account, ledger in ledgers.items()}
         reports = {
             account: Report(change.holding.granted, change.holding.limit)
             for account, change in changes.items()
         }
         for account, report in reports.items():
-            self.hand_by_account[account].bounds.reports.add(report)
+            self.budget_by_account[account].bounds.reports.add(report)
         made = self._holder.clocks.read()
         return _Append(self._end, changes, ledgers, values, made, reports)
 
     def _turn(self, account: str) -> tuple[bool, float]:
         """Return what sorts an account by its turn to be changed."""
-        hand = self.hand_by_account.get(account)
-        is_waited_for = hand is not None and hand.is_waited_for
+        budget = self.budget_by_account.get(account)
+        is_waited_for = budget is not None and budget.is_waited_for
         return not is_waited_for, self._planned_at.get(account, -math.inf)
 
     def _horizon_s(self) -> float:
--- a/railtide/budgets/log_budget_source.py
+++ b/railtide/budgets/log_budget_source.py
@@ -14,7 +14,7 @@
 from loguru import logger
 
 from railtide.budgets.allocation import (
-    Hand,
+    Allocation,
     can_expose,
     expose,
     reserve,
@@ -31,7 +31,7 @@
     exposure_of,
     low_water,
 )
-from railtide.budgets.messages import Grant, Return
+from railtide.budgets.messages import Grant, GrantReturn
 from railtide.configuration.models import AccountSettings
 from railtide.journal.entries import Code
 from railtide.journal.writer import Ticket, Writer
@@ -55,12 +55,12 @@
     """One incarnation of the router at the log, and its hands by account."""
 
     writer: Writer
-    by_account: dict[str, Hand] = field(default_factory=dict)
+    by_account: dict[str, Allocation] = field(default_factory=dict)
     open_reservations: int = 0
 
-    def hand(self, account: str) -> Hand:
+    def allocation(self, account: str) -> Allocation:
         """Return the account's hand."""
-        return self.by_account.setdefault(account, Hand())
+        return self.by_account.setdefault(account, Allocation())
 
 
 class LogReservation(BudgetReservation):
@@ -83,28 +83,28 @@
         epoch.open_reservations += 1
 
     @property
-    def _hand(self) -> Hand:
-        return self.epoch.hand(self.account)
+    def _allocation(self) -> Allocation:
+        return self.epoch.allocation(self.account)
 
     def extend(self, amount: int) -> bool:
         """Reserve more units for another try; False if they are not in hand."""
-        if self.epoch.writer.fenced or not reserve(self._hand, amount):
+        if self.epoch.writer.fenced or not reserve(self._allocation, amount):
             return False
         self.amount += amount
         return True
 
     def try_expose(self, amount: int) -> bool:
         """Claim the right to send before the log covers `amount`, if the limit allows it."""
-        if not can_expose(self._hand, amount):
+        if not can_expose(self._allocation, amount):
             return False
-        expose(self._hand, amount)
+        expose(self._allocation, amount)
         self._exposed += amount
         return True
 
     def cover(self, amount: int) -> None:
         """Say that the log covers `amount` now, if it was exposed."""
         covered = min(amount, self._exposed)
-        unexpose(self._hand, covered)
+        unexpose(self._allocation, covered)
         self._exposed -= covered
 
     def settle(self, used: int) -> int:
@@ -118,7 +118,7 @@
         self._settled = True
         self.cover(self._exposed - min(used, self._exposed))
         self.epoch.open_reservations -= 1
-        return settle_reserve(self._hand, self.amount, used)
+        return settle_reserve(self._allocation, self.amount, used)
 
 
 @dataclass
@@ -220,12 +220,12 @@
             now = trio.current_time()
             if now >= until or not self._log_reachable():
                 raise self._refusal(exhausted)
-            need = amount - self.epoch.hand(account).available
+            need = amount - self.epoch.allocation(account).available
             exhausted = await self._ask_until(account, settings, need, until) or exhausted
 
     def _take(self, account: str, amount: int) -> LogReservation | None:
         self._leave_fenced_epoch()
-        if not reserve(self.epoch.hand(account), amount):
+        if not reserve(self.epoch.allocation(account), amount):
             return None
         return LogReservation(self.epoch, account, amount)
 
@@ -269,7 +269,7 @@
         known = self._account(account)
         level = low_water(known.rate, settings.grant_horizon_s)
         dry = known.left is not None and known.left <= 0
-        if self.epoch.hand(account).available < level and not known.asking and not dry:
+        if self.epoch.allocation(account).available < level and not known.asking and not dry:
             self._ask(account, settings, 0)
 
     def _ask(self, account: str, settings: AccountSettings, need: int) -> Ticket | None:
@@ -282,7 +282,7 @@
         record = Grant(account, amount, exposure_of(amount, settings.exposure_percent))
         return self.epoch.writer.submit(record)
 
-    def take_ticket(self, epoch: Epoch, ticket: Ticket) -> None:
+    def apply_grant_verdict(self, epoch: Epoch, ticket: Ticket) -> None:
         """Learn from a grant's verdict."""
         record = ticket.record
         if not isinstance(record, Grant):
@@ -292,36 +292,36 @@
         known.left = ticket.verdict.available
         if ticket.verdict.ok:
             self.grants += 1
-            hand = epoch.hand(record.account)
-            hand.granted += record.amount
-            hand.exposure_limit = max(hand.exposure_limit, record.exposure)
+            allocation = epoch.allocation(record.account)
+            allocation.granted += record.amount
+            allocation.exposure_limit = max(allocation.exposure_limit, record.exposure)
         known.changed.set()
         known.changed = trio.Event()
 
     # -- giving back --------------------------------------------------------------------------
 
-    def give_back(self, account: str) -> None:
+    def return_idle(self, account: str) -> None:
         """Return what lies idle, because another router was refused a grant."""
         if self.epoch is None or self.epoch.writer.fenced:
             return
-        hand = self.epoch.by_account.get(account)
+        allocation = self.epoch.by_account.get(account)
         settings = self._settings_by_account.get(account)
-        if hand is None or settings is None or not self._sizing(settings).returns_idle:
+        if allocation is None or settings is None or not self._sizing(settings).returns_idle:
             return
         busy = trio.current_time() - self._account(account).seen_at < BUSY_S
-        most = hand.available // IDLE_KEEP_SHARE if busy else hand.available
-        self._return(account, hand, most)
+        most = allocation.available // IDLE_KEEP_SHARE if busy else allocation.available
+        self._return(account, allocation, most)
 
-    def give_back_all(self) -> None:
+    def return_all(self) -> None:
         """Return all that is not reserved; for a graceful shutdown."""
-        for account, hand in self.epoch.by_account.items():
-            self._return(account, hand, hand.available)
+        for account, allocation in self.epoch.by_account.items():
+            self._return(account, allocation, allocation.available)
 
-    def _return(self, account: str, hand: Hand, most: int) -> None:
-        amount = take_back(hand, most)
+    def _return(self, account: str, allocation: Allocation, most: int) -> None:
+        amount = take_back(allocation, most)
         if amount > 0:
             self.returns += 1
-            self.epoch.writer.submit(Return(account, amount))
+            self.epoch.writer.submit(GrantReturn(account, amount))
 
     async def run(self) -> None:
         """Tend the hands for ever: return what traffic no longer needs, close ended epochs."""
@@ -331,10 +331,10 @@
                 continue
             self._leave_fenced_epoch()
             self._close_ended()
-            for account, hand in self.epoch.by_account.items():
-                self._trim(account, hand)
+            for account, allocation in self.epoch.by_account.items():
+                self._trim(account, allocation)
 
-    def _trim(self, account: str, hand: Hand) -> None:
+    def _trim(self, account: str, allocation: Allocation) -> None:
         settings = self._settings_by_account.get(account)
         if settings is None or not self._log_reachable():
             return
@@ -342,8 +342,8 @@
             return
         rate = self._decayed_rate(self._account(account))
         keep = round(rate * settings.grant_horizon_s) + settings.grant_min
-        if hand.available > 2 * keep:
-            self._return(account, hand, hand.available - keep)
+        if allocation.available > 2 * keep:
+            self._return(account, allocation, allocation.available - keep)
 
     # -- epochs -------------------------------------------------------------------------------
 
--- a/railtide/budgets/messages.py
+++ b/railtide/budgets/messages.py
@@ -4,7 +4,7 @@
 
 from msgspec import Meta, Struct
 
-__all__ = ["Amount", "Fence", "Grant", "Release", "Return", "TopUp", "Waste"]
+__all__ = ["Amount", "Fence", "Grant", "Release", "GrantReturn", "TopUp", "Waste"]
 
 Amount = Annotated[int, Meta(ge=0)]
 
@@ -28,7 +28,7 @@
     exposure: Amount
 
 
-class Return(Struct, frozen=True, array_like=True, tag=12):
+class GrantReturn(Struct, frozen=True, array_like=True, tag=12):
     """Unused units moved from the writer's hand back to the budget."""
 
     account: str
--- a/railtide/budgets/partition_view.py
+++ b/railtide/budgets/partition_view.py
@@ -5,10 +5,10 @@
 
 from railtide.budgets.ledger import Ledger
 
-__all__ = ["HandPlace", "OpenPlace"]
+__all__ = ["PartitionView", "StandalonePartition"]
 
 
-class HandPlace(ABC):
+class PartitionView(ABC):
     """A partition, as a hand of it sees it."""
 
     @property
@@ -26,7 +26,7 @@
         """Return whether grants, closings and returns may be made in the store's era."""
 
     @abstractmethod
-    def read_up_to(self) -> float:
+    def min_read_offset(self) -> float:
         """Return up to which offset all other routers in use have read the partition."""
 
     @abstractmethod
@@ -34,27 +34,27 @@
         """Return a ledger with a change as it is to be written."""
 
 
-class OpenPlace(HandPlace):
+class StandalonePartition(PartitionView):
     """The partition of a process that is alone, in a store without eras."""
 
     @property
     def era(self) -> int:
-        """See `HandPlace.era`."""
+        """See `PartitionView.era`."""
         return 0
 
     @property
     def read_end(self) -> int:
-        """See `HandPlace.read_end`."""
+        """See `PartitionView.read_end`."""
         return 0
 
     def is_open(self) -> bool:
-        """See `HandPlace.is_open`."""
+        """See `PartitionView.is_open`."""
         return True
 
-    def read_up_to(self) -> float:
-        """See `HandPlace.read_up_to`."""
+    def min_read_offset(self) -> float:
+        """See `PartitionView.min_read_offset`."""
         return math.inf
 
     def as_written(self, account: str, ledger: Ledger) -> Ledger:
-        """See `HandPlace.as_written`."""
+        """See `PartitionView.as_written`."""
         return ledger
--- a/railtide/budgets/peer_reports.py
+++ b/railtide/budgets/peer_reports.py
@@ -22,7 +22,7 @@
 from dataclasses import dataclass
 
 from railtide.budgets.ledger import Holding, Ledger, is_same_report
-from railtide.budgets.spend_limit import NO_READING, Reading, elapsed_s, most_used_within
+from railtide.budgets.spend_limit import NO_CLOCK_READING, ClockReading, elapsed_s, most_used_within
 
 __all__ = ["PeerReports"]
 
@@ -35,7 +35,7 @@
     """A process's last report and a moment, by this process's clocks, before it was made."""
 
     holding: Holding
-    after: Reading
+    after: ClockReading
 
 
 class PeerReports:
@@ -44,14 +44,14 @@
     Examples
     --------
     >>> from railtide.budgets.spend_limit import SpendLimit
-    >>> limit = SpendLimit(Reading("theirs", 70.0, 0.0), used=10, burst=5, pace=2)
+    >>> limit = SpendLimit(ClockReading("theirs", 70.0, 0.0), used=10, burst=5, pace=2)
     >>> peers = PeerReports()
-    >>> peers.observe(Ledger(), NO_READING, Reading("own", 1.0, 1.0))
+    >>> peers.observe(Ledger(), NO_CLOCK_READING, ClockReading("own", 1.0, 1.0))
     >>> dead = Holding("b1", granted=100, spent=10, limit=limit)
     >>> alive = Ledger(by_instance={"b": dead})
-    >>> peers.observe(alive, Reading("own", 1.5, 1.5), Reading("own", 2.0, 2.0))
+    >>> peers.observe(alive, ClockReading("own", 1.5, 1.5), ClockReading("own", 2.0, 2.0))
     >>> closed = Ledger(closed=100, billed=10, unproved={"b": dead})
-    >>> peers.observe(closed, Reading("own", 3.0, 3.0), Reading("own", 4.5, 4.5))
+    >>> peers.observe(closed, ClockReading("own", 3.0, 3.0), ClockReading("own", 4.5, 4.5))
     >>> peers.used_at_most("b1")
     21
     """
@@ -65,21 +65,21 @@
         self._report_by_incarnation = None
         self._used_by_incarnation = {}
 
-    def observe(self, ledger: Ledger, own_append: Reading, now: Reading) -> None:
+    def observe(self, ledger: Ledger, own_append: ClockReading, now: ClockReading) -> None:
         """Take the ledger as it was read.
 
         Parameters
         ----------
         ledger : Ledger
-        own_append : Reading
+        own_append : ClockReading
             The clocks before this process sent the latest of its appends to the partition that
             were known to be in it when the ledger was read the time before.
-        now : Reading
+        now : ClockReading
             The clocks when the ledger had been read.
         """
         first = self._report_by_incarnation is None
         known = self._report_by_incarnation or {}
-        after = NO_READING if first else own_append
+        after = NO_CLOCK_READING if first else own_append
         holdings = [*ledger.by_instance.values(), *ledger.unproved.values()]
         self._report_by_incarnation = {
             held.incarnation: _known_or_new(known.get(held.incarnation), held, after)
@@ -89,7 +89,7 @@
             dead.incarnation: self._used_at_most(dead, now) for dead in ledger.unproved.values()
         }
 
-    def _used_at_most(self, dead: Holding, now: Reading) -> int:
+    def _used_at_most(self, dead: Holding, now: ClockReading) -> int:
         """Return what a dead process can have used; the first sight of its death counts."""
         known = self._used_by_incarnation.get(dead.incarnation)
         if known is not None:
@@ -104,7 +104,7 @@
         return self._used_by_incarnation.get(incarnation)
 
 
-def _known_or_new(known: _Report | None, holding: Holding, after: Reading) -> _Report:
+def _known_or_new(known: _Report | None, holding: Holding, after: ClockReading) -> _Report:
     """Return what is known of a report, or the new one."""
     if known and is_same_report(known.holding, holding):
         return known
--- a/railtide/budgets/process_context.py
+++ b/railtide/budgets/process_context.py
@@ -6,7 +6,7 @@
 from railtide.budgets.account_log import LineAllowance
 from railtide.budgets.allocation_sizing import LedgerOptions
 from railtide.budgets.peers import NoPeers, Peers
-from railtide.budgets.spend_limit import Clocks, Reading
+from railtide.budgets.spend_limit import ClockReading, Clocks
 from railtide.telemetry.counters import Counters
 
 __all__ = ["Holder"]
@@ -26,7 +26,7 @@
         Whether `routers` is to be relied on, so that hands are kept ahead of need.
     clocks : Clocks
         By which the process binds itself to what it spends.
-    started : Reading
+    started : ClockReading
         What they said when the process began.
     counters : Counters
     lines : LineAllowance
@@ -43,7 +43,7 @@
     routers: Callable[[], int]
     options: LedgerOptions
     clocks: Clocks
-    started: Reading
+    started: ClockReading
     counters: Counters = field(default_factory=Counters)
     lines: LineAllowance = field(default_factory=LineAllowance)
     spreading: bool = False
--- a/railtide/budgets/rollback.py
+++ b/railtide/budgets/rollback.py
@@ -14,13 +14,19 @@
 
 import msgspec
 
-from railtide.budgets.ledger import Base, Ledger, committed, ledger_from_bytes, ledger_to_bytes
+from railtide.budgets.ledger import (
+    Ledger,
+    LedgerOrigin,
+    committed,
+    ledger_from_bytes,
+    ledger_to_bytes,
+)
 from railtide.budgets.spend_limit import COUNT
 
 __all__ = [
     "OPENINGS_KEY",
     "Known",
-    "Opening",
+    "EraOpening",
     "carried",
     "held_back_share",
     "later_of",
@@ -59,7 +65,7 @@
         return (base.era, base.offset, base.carried_in, self.offset)
 
 
-class Opening(msgspec.Struct, array_like=True, frozen=True):
+class EraOpening(msgspec.Struct, array_like=True, frozen=True):
     """The opening of one era.
 
     Attributes
@@ -80,21 +86,21 @@
     is_known: bool = True
 
 
-_openings_decoder = msgspec.msgpack.Decoder(list[Opening])
+_openings_decoder = msgspec.msgpack.Decoder(list[EraOpening])
 
 
-def openings_to_bytes(openings: Sequence[Opening]) -> bytes:
+def openings_to_bytes(openings: Sequence[EraOpening]) -> bytes:
     """Return the encoding of a partition's openings, the newest of them."""
     return msgspec.msgpack.encode(list(openings[-MOST_OPENINGS:]))
 
 
-def openings_from_bytes(data: bytes) -> list[Opening]:
+def openings_from_bytes(data: bytes) -> list[EraOpening]:
     """Return a partition's openings; raises `msgspec.DecodeError`.
 
     Examples
     --------
-    >>> openings_from_bytes(openings_to_bytes([Opening(3, 0.01)]))
-    [Opening(era=3, share=0.01, gone=0, is_known=True)]
+    >>> openings_from_bytes(openings_to_bytes([EraOpening(3, 0.01)]))
+    [EraOpening(era=3, share=0.01, gone=0, is_known=True)]
     """
     return _openings_decoder.decode(data)
 
@@ -140,16 +146,17 @@
     """Return a ledger to be written again in an era that is not open."""
     ledger = _copy_of(known.ledger)
     at_era, at_offset, _, _ = known.position
-    ledger.base = Base(at_era, max(0, at_offset), era)
+    ledger.base = LedgerOrigin(at_era, max(0, at_offset), era)
     return ledger
 
 
-def opened(ledger: Ledger, openings: Sequence[Opening], prepaid: int | None, era: int) -> Ledger:
+def opened(ledger: Ledger, openings: Sequence[EraOpening], prepaid: int | None, era: int) -> Ledger:
     """Return a ledger as it is in an era that is open, with what its openings hold back.
 
     Examples
     --------
-    >>> ledger = opened(Ledger(closed=10, opened=1), [Opening(1, 0.5), Opening(2, 0.01)], 1000, 2)
+    >>> openings = [EraOpening(1, 0.5), EraOpening(2, 0.01)]
+    >>> ledger = opened(Ledger(closed=10, opened=1), openings, 1000, 2)
     >>> ledger.closed, ledger.opened
     (20, 2)
     """
--- a/railtide/budgets/shortfall_tracker.py
+++ b/railtide/budgets/shortfall_tracker.py
@@ -3,9 +3,9 @@
 from collections.abc import Mapping
 
 from railtide.budgets.shortfalls import (
-    Need,
-    NeedsSeen,
-    OwnNeed,
+    OwnShortfalls,
+    PeerShortfalls,
+    Shortfall,
     first_needs,
     forget_refused,
     note_refused,
@@ -13,10 +13,10 @@
     units_refused,
 )
 
-__all__ = ["HandNeeds"]
+__all__ = ["ShortfallTracker"]
 
 
-class HandNeeds:
+class ShortfallTracker:
     """The needs of one account as one process knows them.
 
     Parameters
@@ -33,8 +33,8 @@
     def __init__(self, incarnation: str) -> None:
         self.waiting: list[int] = []
         self._incarnation = incarnation
-        self._own = OwnNeed()
-        self._seen = NeedsSeen()
+        self._own = OwnShortfalls()
+        self._seen = PeerShortfalls()
         self._count = 0
 
     def note_refused(self, amount: int, until: float) -> None:
@@ -45,7 +45,7 @@
         """Drop a refused request of this size, since one was served."""
         forget_refused(self._own, amount)
 
-    def note_seen(self, need_by_incarnation: Mapping[str, Need], now: float) -> None:
+    def note_seen(self, need_by_incarnation: Mapping[str, Shortfall], now: float) -> None:
         """Take the needs of other processes as they were read now."""
         note_seen(self._seen, need_by_incarnation, now)
 
@@ -70,9 +70,9 @@
         own = (lacking, self._incarnation) if lacking else None
         return first_needs(self._seen, now, own)
 
-    def next_need(self, lacking: int) -> Need | None:
+    def next_need(self, lacking: int) -> Shortfall | None:
         """Return the need of the next report."""
         if not lacking:
             return None
         self._count += 1
-        return Need(lacking, self._count)
+        return Shortfall(lacking, self._count)
--- a/railtide/budgets/shortfalls.py
+++ b/railtide/budgets/shortfalls.py
@@ -15,9 +15,9 @@
 import msgspec
 
 __all__ = [
-    "Need",
-    "NeedsSeen",
-    "OwnNeed",
+    "Shortfall",
+    "PeerShortfalls",
+    "OwnShortfalls",
     "first_needs",
     "forget_refused",
     "is_renewal_due",
@@ -50,7 +50,7 @@
 would cost a write."""
 
 
-class Need(msgspec.Struct, array_like=True, frozen=True):
+class Shortfall(msgspec.Struct, array_like=True, frozen=True):
     """What a process lacks.
 
     Attributes
@@ -66,7 +66,7 @@
 
 
 @dataclass
-class OwnNeed:
+class OwnShortfalls:
     """The requests that this process refused for want of units and whose callers come back.
 
     Attributes
@@ -79,24 +79,24 @@
 
 
 @dataclass
-class NeedsSeen:
+class PeerShortfalls:
     """The needs of other processes, as far as they are renewed.
 
     Attributes
     ----------
-    by_incarnation : dict of str to tuple of (Need, float)
+    by_incarnation : dict of str to tuple of (Shortfall, float)
         Each need and when it was first read with its count, by the reader's clock.
     """
 
-    by_incarnation: dict[str, tuple[Need, float]] = field(default_factory=dict)
+    by_incarnation: dict[str, tuple[Shortfall, float]] = field(default_factory=dict)
 
 
-def note_refused(own: OwnNeed, amount: int, until: float) -> None:
+def note_refused(own: OwnShortfalls, amount: int, until: float) -> None:
     """Count a request whose caller was told to come back; a repeat of the same size counts once.
 
     Examples
     --------
-    >>> own = OwnNeed()
+    >>> own = OwnShortfalls()
     >>> note_refused(own, 30, until=1.0)
     >>> note_refused(own, 30, until=2.0)
     >>> own.refused
@@ -106,7 +106,7 @@
     own.refused.append((until, amount))
 
 
-def forget_refused(own: OwnNeed, amount: int) -> None:
+def forget_refused(own: OwnShortfalls, amount: int) -> None:
     """Drop a refused request of this size, since one was served; there may be none."""
     for entry in own.refused:
         if entry[1] == amount:
@@ -114,19 +114,21 @@
             return
 
 
-def units_refused(own: OwnNeed, now: float) -> list[int]:
+def units_refused(own: OwnShortfalls, now: float) -> list[int]:
     """Return the units of each refused request whose caller is waited for.
 
     Examples
     --------
-    >>> units_refused(OwnNeed([(1.0, 30), (2.0, 40)]), now=1.5)
+    >>> units_refused(OwnShortfalls([(1.0, 30), (2.0, 40)]), now=1.5)
     [40]
     """
     own.refused = [entry for entry in own.refused if entry[0] > now]
     return [amount for _, amount in own.refused]
 
 
-def note_seen(seen: NeedsSeen, need_by_incarnation: Mapping[str, Need], now: float) -> None:
+def note_seen(
+    seen: PeerShortfalls, need_by_incarnation: Mapping[str, Shortfall], now: float
+) -> None:
     """Take the needs of others as they were read now."""
     known = seen.by_incarnation
     seen.by_incarnation = {
@@ -135,11 +137,13 @@
     }
 
 
-def _is_known(known: Mapping[str, tuple[Need, float]], incarnation: str, need: Need) -> bool:
+def _is_known(
+    known: Mapping[str, tuple[Shortfall, float]], incarnation: str, need: Shortfall
+) -> bool:
     return incarnation in known and known[incarnation][0].count == need.count
 
 
-def first_needs(seen: NeedsSeen, now: float, own: tuple[int, str] | None = None) -> int:
+def first_needs(seen: PeerShortfalls, now: float, own: tuple[int, str] | None = None) -> int:
     """Return the units that others lack whose turn is before this process's own need.
 
     Who lacks least goes first, as it is the likeliest to be served; between equals the incarnation
@@ -147,14 +151,14 @@
 
     Parameters
     ----------
-    seen : NeedsSeen
+    seen : PeerShortfalls
     now : float
     own : tuple of (int, str), optional
         The units that this process lacks, and its incarnation.
 
     Examples
     --------
-    >>> seen = NeedsSeen({"b": (Need(50, count=1), 0.0)})
+    >>> seen = PeerShortfalls({"b": (Shortfall(50, count=1), 0.0)})
     >>> first_needs(seen, now=1.0), first_needs(seen, now=1.0, own=(40, "a"))
     (50, 0)
     >>> first_needs(seen, now=2.0)
@@ -238,14 +242,14 @@
     return max(0, min(spare, lacking - max(0, ungranted)))
 
 
-def is_renewal_due(written: Need | None, lacking: int, age_s: float) -> bool:
+def is_renewal_due(written: Shortfall | None, lacking: int, age_s: float) -> bool:
     """Return whether others should be told now of the units that are lacking here.
 
     Examples
     --------
-    >>> is_renewal_due(Need(30, count=1), lacking=40, age_s=0.2)
+    >>> is_renewal_due(Shortfall(30, count=1), lacking=40, age_s=0.2)
     False
-    >>> is_renewal_due(Need(30, count=1), lacking=60, age_s=0.2)
+    >>> is_renewal_due(Shortfall(30, count=1), lacking=60, age_s=0.2)
     True
     """
     if not lacking:
--- a/railtide/budgets/spend_limit.py
+++ b/railtide/budgets/spend_limit.py
@@ -25,10 +25,10 @@
 import msgspec
 
 __all__ = [
-    "NO_READING",
+    "NO_CLOCK_READING",
     "Clocks",
     "NoClocks",
-    "Reading",
+    "ClockReading",
     "SpendLimit",
     "elapsed_s",
     "most_used",
@@ -46,7 +46,7 @@
 second at most; when it is set, it is by more."""
 
 
-class Reading(msgspec.Struct, array_like=True, frozen=True):
+class ClockReading(msgspec.Struct, array_like=True, frozen=True):
     """The clocks of a machine at one moment.
 
     Attributes
@@ -55,16 +55,16 @@
         Id of the boot that the steady clock counts from; empty if it is not known.
     steady_s : float
         The clock since boot, seconds; suspensions count in it.
-    day_s : float
+    wall_s : float
         The time of day, seconds since the epoch.
     """
 
     boot: str
     steady_s: Annotated[float, FINITE]
-    day_s: Annotated[float, FINITE]
+    wall_s: Annotated[float, FINITE]
 
 
-NO_READING = Reading("", 0.0, 0.0)
+NO_CLOCK_READING = ClockReading("", 0.0, 0.0)
 """A reading that proves nothing."""
 
 
@@ -72,16 +72,16 @@
     """The clocks of a machine."""
 
     @abstractmethod
-    def read(self) -> Reading:
+    def read(self) -> ClockReading:
         """Return what they say now."""
 
 
 class NoClocks(Clocks):
     """Clocks that prove nothing."""
 
-    def read(self) -> Reading:
+    def read(self) -> ClockReading:
         """Return a reading without a boot."""
-        return NO_READING
+        return NO_CLOCK_READING
 
 
 class SpendLimit(msgspec.Struct, array_like=True, frozen=True):
@@ -89,7 +89,7 @@
 
     Attributes
     ----------
-    made : Reading
+    made : ClockReading
         When the limit was made.
     used : int
         Units spent or reserved then.
@@ -101,7 +101,7 @@
         Seconds after the limit was made from which the pace counts.
     """
 
-    made: Reading
+    made: ClockReading
     used: Annotated[int, COUNT]
     burst: Annotated[int, COUNT]
     pace: Annotated[int, COUNT]
@@ -113,7 +113,7 @@
 
     Examples
     --------
-    >>> limit = SpendLimit(Reading("boot", 10.0, 0.0), used=100, burst=50, pace=20)
+    >>> limit = SpendLimit(ClockReading("boot", 10.0, 0.0), used=100, burst=50, pace=20)
     >>> units_at(limit, 2.5)
     200
     >>> later = SpendLimit(limit.made, used=100, burst=50, pace=20, pace_after_s=0.5)
@@ -129,7 +129,8 @@
 
     Examples
     --------
-    >>> limit = SpendLimit(Reading("boot", 10.0, 0.0), 100, burst=50, pace=20, pace_after_s=0.5)
+    >>> made = ClockReading("boot", 10.0, 0.0)
+    >>> limit = SpendLimit(made, 100, burst=50, pace=20, pace_after_s=0.5)
     >>> wait_s(limit, 170, elapsed=0.25), wait_s(limit, 170, elapsed=2.0), wait_s(limit, 140, 0.0)
     (1.25, 0.0, 0.0)
     """
@@ -141,34 +142,34 @@
     return max(0.0, limit.pace_after_s + missing / limit.pace - elapsed)
 
 
-def elapsed_s(since: Reading, until: Reading) -> float | None:
+def elapsed_s(since: ClockReading, until: ClockReading) -> float | None:
     """Return the seconds between two readings, or None if they don't prove them.
 
     Examples
     --------
-    >>> made = Reading("boot", 10.0, 1000.0)
-    >>> elapsed_s(made, Reading("boot", 12.5, 1002.5))
+    >>> made = ClockReading("boot", 10.0, 1000.0)
+    >>> elapsed_s(made, ClockReading("boot", 12.5, 1002.5))
     2.5
-    >>> elapsed_s(made, Reading("another boot", 12.5, 1002.5))
-    >>> elapsed_s(made, Reading("boot", 12.5, 1009.0))
-    >>> elapsed_s(made, Reading("boot", 9.0, 999.0))
+    >>> elapsed_s(made, ClockReading("another boot", 12.5, 1002.5))
+    >>> elapsed_s(made, ClockReading("boot", 12.5, 1009.0))
+    >>> elapsed_s(made, ClockReading("boot", 9.0, 999.0))
     """
     steady = until.steady_s - since.steady_s
-    day = until.day_s - since.day_s
+    day = until.wall_s - since.wall_s
     if not since.boot or since.boot != until.boot or steady < 0 or abs(steady - day) > AGREE_S:
         return None
     return steady
 
 
-def most_used(limit: SpendLimit | None, granted: int, dead: Reading) -> int:
+def most_used(limit: SpendLimit | None, granted: int, dead: ClockReading) -> int:
     """Return the units of a grant that a process can have used until it was dead.
 
     Examples
     --------
-    >>> limit = SpendLimit(Reading("boot", 10.0, 1000.0), used=100, burst=50, pace=20)
-    >>> most_used(limit, 1000, Reading("boot", 12.5, 1002.5))
+    >>> limit = SpendLimit(ClockReading("boot", 10.0, 1000.0), used=100, burst=50, pace=20)
+    >>> most_used(limit, 1000, ClockReading("boot", 12.5, 1002.5))
     200
-    >>> most_used(limit, 1000, Reading("another boot", 12.5, 1002.5))
+    >>> most_used(limit, 1000, ClockReading("another boot", 12.5, 1002.5))
     1000
     """
     return most_used_within(limit, granted, elapsed_s(limit.made, dead) if limit else None)
@@ -181,7 +182,7 @@
 
     Examples
     --------
-    >>> limit = SpendLimit(Reading("boot", 10.0, 1000.0), used=100, burst=50, pace=20)
+    >>> limit = SpendLimit(ClockReading("boot", 10.0, 1000.0), used=100, burst=50, pace=20)
     >>> most_used_within(limit, 1000, 2.5), most_used_within(limit, 1000, None)
     (200, 1000)
     """
--- a/railtide/budgets/tests/test_account_log.py
+++ b/railtide/budgets/tests/test_account_log.py
@@ -15,16 +15,16 @@
     ClockProof,
     LineAllowance,
     RefusalCause,
-    cause_of,
     is_news,
     proof_of,
+    refusal_cause,
     state_of,
 )
 from railtide.budgets.allocation_sizing import LedgerOptions
 from railtide.budgets.errors import BudgetError
 from railtide.budgets.ledger import Holding, Ledger, ledger_to_bytes
 from railtide.budgets.ledger_budget_source import LedgerBudgetSource
-from railtide.budgets.spend_limit import Clocks, Reading, SpendLimit
+from railtide.budgets.spend_limit import ClockReading, Clocks, SpendLimit
 from railtide.configuration.models import AccountSettings
 from railtide.standins.keyed_store import MemoryStore
 from railtide.telemetry.counters import Counters
@@ -41,9 +41,9 @@
     def __init__(self, boot: str) -> None:
         self._boot = boot
 
-    def read(self) -> Reading:
+    def read(self) -> ClockReading:
         now = trio.current_time()
-        return Reading(self._boot, BOOT_S + now, 1e9 + now)
+        return ClockReading(self._boot, BOOT_S + now, 1e9 + now)
 
 
 def of(lines: list[dict], event: str) -> list[dict]:
@@ -98,20 +98,20 @@
 
 
 class TestProof:
-    LIMIT = SpendLimit(Reading("boot", 10.0, 1000.0), used=100, burst=50, pace=20)
+    LIMIT = SpendLimit(ClockReading("boot", 10.0, 1000.0), used=100, burst=50, pace=20)
 
     def test_clocks_that_agree_prove_the_time(self) -> None:
-        proof = proof_of(self.LIMIT, Reading("boot", 12.5, 1002.5))
+        proof = proof_of(self.LIMIT, ClockReading("boot", 12.5, 1002.5))
         assert (proof.clocks, proof.since_report_s) == (ClockProof.PROVED, 2.5)
 
     def test_each_reason_for_none_is_told(self) -> None:
-        another = proof_of(self.LIMIT, Reading("boot 2", 1.5, 1004.0))
+        another = proof_of(self.LIMIT, ClockReading("boot 2", 1.5, 1004.0))
         assert (another.clocks, another.since_report_s) == (ClockProof.ANOTHER_BOOT, 4.0)
-        anew = proof_of(self.LIMIT, Reading("boot", 1.5, 1004.0))
+        anew = proof_of(self.LIMIT, ClockReading("boot", 1.5, 1004.0))
         assert (anew.clocks, anew.since_report_s) == (ClockProof.CLOCKS_DISAGREE, 4.0)
-        unknown = proof_of(self.LIMIT, Reading("", 0.0, 0.0))
+        unknown = proof_of(self.LIMIT, ClockReading("", 0.0, 0.0))
         assert (unknown.clocks, unknown.since_report_s) == (ClockProof.BOOT_UNKNOWN, None)
-        unbound = proof_of(None, Reading("boot", 1.5, 1004.0))
+        unbound = proof_of(None, ClockReading("boot", 1.5, 1004.0))
         assert (unbound.clocks, unbound.since_report_s) == (ClockProof.NO_LIMIT, None)
 
 
@@ -119,7 +119,7 @@
     STATE = AccountState(1000, spent=300, written_off=400, in_hands=200, left=100)
 
     def cause(self, amount: int, in_hand: int = 0, reached: bool = True) -> RefusalCause:
-        return cause_of(self.STATE, amount, in_hand, reached)
+        return refusal_cause(self.STATE, amount, in_hand, reached)
 
     def test_units_in_the_ledger_and_in_hands(self) -> None:
         assert self.cause(100) is RefusalCause.IN_LEDGER
@@ -135,7 +135,7 @@
 
     def test_limit_of_the_process_and_unread_ledger(self) -> None:
         assert self.cause(50, in_hand=60) is RefusalCause.SPEND_LIMIT
-        assert cause_of(None, 50, 0, True) is RefusalCause.LEDGER_UNREAD
+        assert refusal_cause(None, 50, 0, True) is RefusalCause.LEDGER_UNREAD
 
 
 class TestLines:
@@ -182,13 +182,13 @@
         """Of 900 units a burst of 100 and two seconds at 20 can have been spent."""
         store, counters = MemoryStore(), Counters()
         now = trio.current_time()
-        made = Reading(boot, BOOT_S + now - 2.0, 1e9 + now - 2.0)
+        made = ClockReading(boot, BOOT_S + now - 2.0, 1e9 + now - 2.0)
         limit = SpendLimit(made, used=100, burst=100, pace=20)
         dead = Holding("i1-1", granted=1000, spent=100, limit=limit)
         store.put(OPTIONS.topic, ACCOUNT, ledger_to_bytes(Ledger(by_instance={"i1": dead})))
         async with trio.open_nursery() as nursery:
             new = make_source(store, counters)
-            new.spread()
+            new.enable_preallocation()
             nursery.start_soon(new.run)
             await trio.sleep(3)
             nursery.cancel_scope.cancel()
--- a/railtide/budgets/tests/test_allocation_sizing.py
+++ b/railtide/budgets/tests/test_allocation_sizing.py
@@ -16,7 +16,7 @@
 OPTIONS = LedgerOptions(
     horizon_s=10.0,
     swings=0.0,
-    most_share=0.5,
+    max_preallocated_share=0.5,
     spread_share=0.1,
     rate_window_s=8.0,
     steady_requests=3.0,
@@ -68,11 +68,11 @@
         while now < 60:
             now += rng.expovariate(1.0)
             note_request(made, rng.choice([1000, 1000, 1000, 9000]), now, options.rate_window_s)
-        hand = target_units(made, 10**7, 3, now, options)
+        left = target_units(made, 10**7, 3, now, options)
         end = now + options.horizon_s
         while (now := now + rng.expovariate(1.0)) < end:
-            hand -= rng.choice([1000, 1000, 1000, 9000])
-        return hand >= 0
+            left -= rng.choice([1000, 1000, 1000, 9000])
+        return left >= 0
 
 
 class TestTarget:
--- a/railtide/budgets/tests/test_large_partition.py
+++ b/railtide/budgets/tests/test_large_partition.py
@@ -8,7 +8,7 @@
 from railtide.budgets.errors import BudgetUnavailable
 from railtide.budgets.ledger import Holding, Ledger, ledger_to_bytes
 from railtide.budgets.ledger_budget_source import LedgerBudgetSource
-from railtide.budgets.spend_limit import Reading, SpendLimit
+from railtide.budgets.spend_limit import ClockReading, SpendLimit
 from railtide.configuration.models import AccountSettings
 from railtide.journal.keyed import KeyedPage
 from railtide.standins.keyed_store import MemoryStore
@@ -23,7 +23,7 @@
 
 
 def ledger_of_a_fleet() -> Ledger:
-    limit = SpendLimit(Reading("b" * 36, 1e5, 1.8e9), 100_000, 10_000, 1_000, 0.5)
+    limit = SpendLimit(ClockReading("b" * 36, 1e5, 1.8e9), 100_000, 10_000, 1_000, 0.5)
     holdings = {
         f"edge-{number}": Holding(f"{number:012x}", 0, 0, 1_000, limit, None, "10.0.0.1:8080")
         for number in range(ROUTERS)
@@ -54,19 +54,19 @@
     async def test_hands_are_filled_in_several_calls(self, autojump_clock) -> None:
         """In one call for all, each try was refused and the next one was the same."""
         made = make_source(store_of_a_fleet())
-        made.spread()
+        made.enable_preallocation()
         (part,) = made.partitions
         async with trio.open_nursery() as nursery:
             nursery.start_soon(made.run)
             await trio.sleep(2)
-            filled = sum(known.hand.granted > 0 for known in part.hand_by_account.values())
+            filled = sum(known.allocation.granted > 0 for known in part.budget_by_account.values())
             assert filled == ACCOUNTS
             nursery.cancel_scope.cancel()
 
     async def test_others_are_heard_while_more_is_due_than_is_done(self, autojump_clock) -> None:
         store = store_of_a_fleet()
         made = make_source(store)
-        made.spread()
+        made.enable_preallocation()
         (part,) = made.partitions
         async with trio.open_nursery() as nursery:
             nursery.start_soon(made.run)
@@ -86,7 +86,7 @@
             name = f"account-{ACCOUNTS - 1}"
             settings = AccountSettings(budget_wait_s=5.0)
             await trio.sleep(12)
-            made.spread()
+            made.enable_preallocation()
             began = trio.current_time()
             (await made.reserve(name, settings, 500_000, began + 9)).settle(500)
             assert trio.current_time() - began < 0.45
@@ -98,7 +98,7 @@
         """Forty accounts have traffic; to report it takes three calls, and is due by each."""
         store = store_of_a_fleet()
         made = make_source(store)
-        made.spread()
+        made.enable_preallocation()
         (part,) = made.partitions
         settings = AccountSettings(budget_wait_s=0.1)
         async with trio.open_nursery() as nursery:
@@ -111,7 +111,7 @@
                     with suppress(BudgetUnavailable):
                         until = trio.current_time() + 0.1
                         (await made.reserve(f"account-{number}", settings, 50, until)).settle(50)
-            grown = [known.hand.granted for known in part.hand_by_account.values()]
+            grown = [known.allocation.granted for known in part.budget_by_account.values()]
             assert min(grown) > 15_000
             nursery.cancel_scope.cancel()
 
@@ -189,5 +189,5 @@
             store.put(OPTIONS.topic, "account-7", ledger_to_bytes(changed))
             store.topic(OPTIONS.topic).forget()
             await trio.sleep(20)
-            assert part.hand("account-7").is_spent(1)
+            assert part.budget("account-7").is_spent(1)
             nursery.cancel_scope.cancel()
--- a/railtide/budgets/tests/test_ledger.py
+++ b/railtide/budgets/tests/test_ledger.py
@@ -18,8 +18,8 @@
     ledger_to_bytes,
     reported_spend,
 )
-from railtide.budgets.shortfalls import Need
-from railtide.budgets.spend_limit import NoClocks, Reading, SpendLimit
+from railtide.budgets.shortfalls import Shortfall
+from railtide.budgets.spend_limit import ClockReading, NoClocks, SpendLimit
 
 
 class TestLedger:
@@ -30,12 +30,12 @@
         assert ledger.billed == 20
 
     def test_former_process_cannot_have_spent_beyond_its_limit(self) -> None:
-        limit = SpendLimit(Reading("boot", 10.0, 500.0), used=25, burst=10, pace=5)
+        limit = SpendLimit(ClockReading("boot", 10.0, 500.0), used=25, burst=10, pace=5)
         for started, closed in (
-            (Reading("boot", 12.0, 502.0), 45),
-            (Reading("other boot", 12.0, 502.0), 70),
-            (Reading("boot", 12.0, 507.0), 70),
-            (Reading("boot", 9.0, 502.0), 70),
+            (ClockReading("boot", 12.0, 502.0), 45),
+            (ClockReading("other boot", 12.0, 502.0), 70),
+            (ClockReading("boot", 12.0, 507.0), 70),
+            (ClockReading("boot", 9.0, 502.0), 70),
         ):
             former = Holding("a1", granted=70, spent=20, limit=limit)
             ledger = Ledger(by_instance={"a": former})
@@ -43,9 +43,9 @@
             assert (ledger.closed, ledger.by_instance) == (closed, {})
 
     def test_more_spent_than_the_limit_counts_as_reported(self) -> None:
-        limit = SpendLimit(Reading("boot", 10.0, 500.0), used=5, burst=0, pace=0)
+        limit = SpendLimit(ClockReading("boot", 10.0, 500.0), used=5, burst=0, pace=0)
         ledger = Ledger(by_instance={"a": Holding("a1", granted=70, spent=20, limit=limit)})
-        close_former(ledger, "a", "a2", Reading("boot", 12.0, 502.0))
+        close_former(ledger, "a", "a2", ClockReading("boot", 12.0, 502.0))
         assert ledger.closed == 20
 
     def test_own_holding_is_not_written_off(self) -> None:
@@ -71,8 +71,8 @@
         assert grant(ledger, prepaid=80, wanted=1, least=1) == 0
 
     def test_encoding_keeps_all(self) -> None:
-        limit = SpendLimit(Reading("boot", 1.5, 9.5), 2, 1, 1)
-        held = Holding("a1", 3, 2, 1, limit, Need(7, count=1))
+        limit = SpendLimit(ClockReading("boot", 1.5, 9.5), 2, 1, 1)
+        held = Holding("a1", 3, 2, 1, limit, Shortfall(7, count=1))
         ledger = Ledger(5, 4, {"a": held, "b": Holding("b1")})
         assert ledger_from_bytes(ledger_to_bytes(ledger)) == ledger
 
@@ -82,8 +82,8 @@
 
     def test_holding_with_nothing_but_a_need_is_kept(self) -> None:
         ledger = Ledger()
-        account_for(ledger, "a", Holding("a1", need=Need(7, count=1)))
-        assert ledger.by_instance["a"].need == Need(7, count=1)
+        account_for(ledger, "a", Holding("a1", need=Shortfall(7, count=1)))
+        assert ledger.by_instance["a"].need == Shortfall(7, count=1)
 
 
 READING = ["boot", 1.0, 1.0]
--- a/railtide/budgets/tests/test_ledger_budget_source.py
+++ b/railtide/budgets/tests/test_ledger_budget_source.py
@@ -13,7 +13,7 @@
 from railtide.budgets.errors import BudgetError, BudgetExhausted, BudgetUnavailable
 from railtide.budgets.ledger import Holding, Ledger, committed, ledger_from_bytes, ledger_to_bytes
 from railtide.budgets.ledger_budget_source import LedgerBudgetSource, partition_of
-from railtide.budgets.spend_limit import Clocks, Reading
+from railtide.budgets.spend_limit import ClockReading, Clocks
 from railtide.configuration.models import AccountSettings
 from railtide.standins.keyed_store import MemoryStore
 
@@ -31,9 +31,9 @@
     began_at: float = 0.0
     set_by_s: float = 0.0
 
-    def read(self) -> Reading:
+    def read(self) -> ClockReading:
         now = trio.current_time()
-        return Reading(self.boot, now - self.began_at, 1e9 + now + self.set_by_s)
+        return ClockReading(self.boot, now - self.began_at, 1e9 + now + self.set_by_s)
 
 
 def make_source(
@@ -68,7 +68,7 @@
     async def test_grant_covers_later_requests_without_the_store(self, autojump_clock) -> None:
         store = MemoryStore()
         made = make_source(store)
-        made.spread()
+        made.enable_preallocation()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(made.run)
             (await made.reserve(ACCOUNT, SETTINGS, 50, trio.current_time() + 9)).settle(40)
@@ -228,20 +228,20 @@
     async def test_shutdown_gives_back_all_but_what_was_spent(self, autojump_clock) -> None:
         store = MemoryStore()
         made = make_source(store)
-        made.spread()
+        made.enable_preallocation()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(made.run)
             (await made.reserve(ACCOUNT, SETTINGS, 50, trio.current_time() + 9)).settle(30)
             await trio.sleep(2)
             assert committed(ledger_of(store)) > 30
-            await made.give_back_all()
+            await made.return_all()
             assert committed(ledger_of(store)) == 30
             nursery.cancel_scope.cancel()
 
     async def test_lower_budget_takes_idle_units_back(self, autojump_clock) -> None:
         store = MemoryStore()
         made = make_source(store)
-        made.spread()
+        made.enable_preallocation()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(made.run)
             (await made.reserve(ACCOUNT, SETTINGS, 200, trio.current_time() + 9)).settle(200)
@@ -289,7 +289,7 @@
         others = Ledger(by_instance={"i2": Holding("i2-1", granted=500)})
         store.put(OPTIONS.topic, ACCOUNT, ledger_to_bytes(others))
         made = make_source(store)
-        made.spread()
+        made.enable_preallocation()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(made.run)
             await trio.sleep(1.01)
@@ -304,7 +304,7 @@
     ) -> None:
         store = MemoryStore()
         idle, busy = make_source(store, "i1", routers=2), make_source(store, "i2", routers=2)
-        idle.spread()
+        idle.enable_preallocation()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(idle.run)
             nursery.start_soon(busy.run)
@@ -324,7 +324,7 @@
         store = MemoryStore()
         made = make_source(store)
         made.set_prepaid({ACCOUNT: 20_000})
-        made.spread()
+        made.enable_preallocation()
         in_hand = []
         async with trio.open_nursery() as nursery:
             nursery.start_soon(made.run)
@@ -367,7 +367,7 @@
         for life, boot in enumerate(boots):
             made = make_source(store, life=str(life), boot=boot)
             made.set_prepaid({ACCOUNT: 10_000})
-            made.spread()
+            made.enable_preallocation()
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(made.run)
                 await trio.sleep(1)
@@ -398,7 +398,7 @@
         store = MemoryStore()
         made = make_source(store, boot="boot")
         made.set_prepaid({ACCOUNT: 10_000})
-        made.spread()
+        made.enable_preallocation()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(made.run)
             await self._serve(made, 20)
@@ -414,7 +414,7 @@
         for boot in ("", "boot"):
             made = make_source(store, name=f"i{boot}", boot=boot)
             made.set_prepaid({ACCOUNT: 10_000})
-            made.spread()
+            made.enable_preallocation()
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(made.run)
                 await self._serve(made, 20)
@@ -428,7 +428,7 @@
         store = MemoryStore()
         made = make_source(store, boot="boot")
         made.set_prepaid({ACCOUNT: 10_000})
-        made.spread()
+        made.enable_preallocation()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(made.run)
             await self._serve(made, 20)
@@ -465,7 +465,7 @@
                 clocks = self._after_power_loss(rng)
             made = make_source_with(self.store, name, str(self.lives), 3, clocks)
             if rng.random() < 0.7:
-                made.spread()
+                made.enable_preallocation()
             with trio.move_on_after(rng.uniform(0.5, 8.0)):
                 async with trio.open_nursery() as nursery:
                     nursery.start_soon(made.run)
--- a/railtide/budgets/tests/test_log_budget_source.py
+++ b/railtide/budgets/tests/test_log_budget_source.py
@@ -5,7 +5,7 @@
 
 from railtide.budgets.errors import BudgetExhausted, BudgetUnavailable
 from railtide.budgets.log_budget_source import Epoch, LogBudgetSource
-from railtide.budgets.messages import Grant, Return
+from railtide.budgets.messages import Grant, GrantReturn
 from railtide.configuration.models import AccountSettings
 from railtide.journal.entries import Code, Entry, Verdict, record_of
 from railtide.journal.writer import Writer
@@ -46,7 +46,7 @@
             self.budget -= record.amount if code == Code.OK else 0
         verdict = Verdict(entry.seq, code, 0, available=self.budget, fenced=fenced)
         ticket = epoch.writer.take_verdict(verdict)
-        self.budgets.take_ticket(epoch, ticket)
+        self.budgets.apply_grant_verdict(epoch, ticket)
 
     async def run(self) -> None:
         while True:
@@ -71,7 +71,7 @@
         nursery_scope.start_soon(book.run)
         held = await book.reserve(30)
         assert held.amount == 30
-        assert book.budgets.epoch.hand("acc").available == 70
+        assert book.budgets.epoch.allocation("acc").available == 70
 
     async def test_exhausted_budget_is_refused_with_its_code(
         self, autojump_clock, nursery_scope
@@ -124,7 +124,7 @@
         assert second.try_expose(45)
         first.cover(45)
         second.cover(45)
-        assert book.budgets.epoch.hand("acc").exposed == 0
+        assert book.budgets.epoch.allocation("acc").exposed == 0
 
     async def test_settles_once(self, autojump_clock, nursery_scope) -> None:
         book = Book(1000)
@@ -132,7 +132,7 @@
         held = await book.reserve(30)
         assert held.settle(20) == 20
         assert held.settle(5) == 0
-        assert book.budgets.epoch.hand("acc").spent == 20
+        assert book.budgets.epoch.allocation("acc").spent == 20
 
     async def test_extends_only_from_the_hand(self, autojump_clock, nursery_scope) -> None:
         book = Book(100)
@@ -171,9 +171,9 @@
         nursery_scope.start_soon(book.run)
         (await book.reserve(30)).settle(30)
         await trio.sleep(5)
-        book.budgets.give_back("acc")
-        assert book.records[-1] == Return("acc", 70)
-        assert book.budgets.epoch.hand("acc").available == 0
+        book.budgets.return_idle("acc")
+        assert book.records[-1] == GrantReturn("acc", 70)
+        assert book.budgets.epoch.allocation("acc").available == 0
 
     async def test_traffic_that_ends_gives_back(self, autojump_clock, nursery_scope) -> None:
         book = Book(100_000)
@@ -182,4 +182,4 @@
         for _ in range(50):
             (await book.reserve(100)).settle(100)
         await trio.sleep(25)
-        assert book.budgets.epoch.hand("acc").available <= 2 * SETTINGS.grant_min
+        assert book.budgets.epoch.allocation("acc").available <= 2 * SETTINGS.grant_min
--- a/railtide/budgets/tests/test_losses.py
+++ b/railtide/budgets/tests/test_losses.py
@@ -26,7 +26,7 @@
 from railtide.budgets.errors import BudgetError
 from railtide.budgets.ledger import Ledger, committed, ledger_from_bytes
 from railtide.budgets.ledger_budget_source import LedgerBudgetSource
-from railtide.budgets.spend_limit import Clocks, Reading
+from railtide.budgets.spend_limit import ClockReading, Clocks
 from railtide.configuration.models import AccountSettings
 from railtide.standins.keyed_store import MemoryStore
 
@@ -48,10 +48,10 @@
         self._boot = boot
         self._began_at = trio.current_time()
 
-    def read(self) -> Reading:
+    def read(self) -> ClockReading:
         """Return what they say now."""
         now = trio.current_time()
-        return Reading(self._boot, now - self._began_at, 1e9 + now)
+        return ClockReading(self._boot, now - self._began_at, 1e9 + now)
 
 
 class Machines:
@@ -92,7 +92,7 @@
             self.store, name, boot, lambda: routers, OPTIONS, clocks=BootClocks(boot)
         )
         made.set_prepaid({ACCOUNT: self._budget})
-        made.spread()
+        made.enable_preallocation()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(made.run)
             await trio.sleep(idle_s)
--- a/railtide/budgets/tests/test_peer_reports.py
+++ b/railtide/budgets/tests/test_peer_reports.py
@@ -13,7 +13,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from railtide.budgets.account_budget import AccountHand
+from railtide.budgets.account_budget import AccountBudget
 from railtide.budgets.errors import BudgetError
 from railtide.budgets.ledger import (
     Holding,
@@ -25,7 +25,7 @@
 )
 from railtide.budgets.peer_reports import PeerReports
 from railtide.budgets.process_context import Holder
-from railtide.budgets.spend_limit import NO_READING, Clocks, Reading, SpendLimit
+from railtide.budgets.spend_limit import NO_CLOCK_READING, ClockReading, Clocks, SpendLimit
 from railtide.budgets.tests.test_ledger_budget_source import (
     ACCOUNT,
     OPTIONS,
@@ -40,12 +40,12 @@
 AMOUNT = 20
 RATE = 100
 ADDRESS = "b:1"
-LIMIT = SpendLimit(Reading("theirs", 70.0, 70.0), used=100, burst=50, pace=20)
+LIMIT = SpendLimit(ClockReading("theirs", 70.0, 70.0), used=100, burst=50, pace=20)
 
 
-def at(seconds: float) -> Reading:
+def at(seconds: float) -> ClockReading:
     """Return a reading of the observer's clocks."""
-    return Reading("own", seconds, 1e9 + seconds)
+    return ClockReading("own", seconds, 1e9 + seconds)
 
 
 def dead(spent: int = 100) -> Holding:
@@ -56,7 +56,7 @@
 def closed(former: Holding) -> Ledger:
     """Return a ledger in which the next process has closed the holding without a proof."""
     ledger = Ledger(by_instance={"b": former})
-    close_former(ledger, "b", "b2", NO_READING, ADDRESS)
+    close_former(ledger, "b", "b2", NO_CLOCK_READING, ADDRESS)
     return ledger
 
 
@@ -65,7 +65,7 @@
         self,
     ) -> None:
         peers = PeerReports()
-        peers.observe(Ledger(), NO_READING, at(0.0))
+        peers.observe(Ledger(), NO_CLOCK_READING, at(0.0))
         peers.observe(Ledger(by_instance={"b": dead()}), at(1.0), at(2.0))
         peers.observe(closed(dead()), at(4.0), at(5.0))
         peers.observe(closed(dead()), at(8.0), at(9.0))
@@ -73,7 +73,7 @@
 
     def test_later_report_counts_from_a_later_append(self) -> None:
         peers = PeerReports()
-        peers.observe(Ledger(), NO_READING, at(0.0))
+        peers.observe(Ledger(), NO_CLOCK_READING, at(0.0))
         peers.observe(Ledger(by_instance={"b": dead(spent=90)}), at(1.0), at(2.0))
         peers.observe(Ledger(by_instance={"b": dead()}), at(3.0), at(4.0))
         peers.observe(closed(dead()), at(4.5), at(5.0))
@@ -87,7 +87,7 @@
 
     def test_ledger_that_was_not_read_in_between_proves_nothing(self) -> None:
         peers = PeerReports()
-        peers.observe(Ledger(), NO_READING, at(0.0))
+        peers.observe(Ledger(), NO_CLOCK_READING, at(0.0))
         peers.forget()
         peers.observe(Ledger(by_instance={"b": dead()}), at(1.0), at(1.5))
         peers.observe(closed(dead()), at(2.0), at(2.5))
@@ -95,9 +95,9 @@
 
     def test_clock_that_was_set_proves_nothing(self) -> None:
         peers = PeerReports()
-        peers.observe(Ledger(), NO_READING, at(0.0))
+        peers.observe(Ledger(), NO_CLOCK_READING, at(0.0))
         peers.observe(Ledger(by_instance={"b": dead()}), at(1.0), at(1.5))
-        peers.observe(closed(dead()), at(2.0), Reading("own", 2.5, 1e9 + 9.0))
+        peers.observe(closed(dead()), at(2.0), ClockReading("own", 2.5, 1e9 + 9.0))
         assert peers.used_at_most("b1") == 1000
 
 
@@ -114,13 +114,13 @@
 
     def test_is_not_made_for_a_machine_at_another_address(self) -> None:
         ledger = Ledger(by_instance={"b": dead()})
-        close_former(ledger, "b", "b2", NO_READING, "elsewhere:1")
+        close_former(ledger, "b", "b2", NO_CLOCK_READING, "elsewhere:1")
         assert (ledger.closed, ledger.unproved) == (1000, {})
 
     def test_older_holding_of_an_instance_stays_closed(self) -> None:
         ledger = closed(dead())
         ledger.by_instance["b"] = Holding("b2", granted=500, spent=1, limit=LIMIT, address=ADDRESS)
-        close_former(ledger, "b", "b3", NO_READING, ADDRESS)
+        close_former(ledger, "b", "b3", NO_CLOCK_READING, ADDRESS)
         assert ledger.unproved["b"].incarnation == "b2"
         assert ledger.closed == 1500
 
@@ -137,7 +137,7 @@
         clocks = FakeClocks(boot, trio.current_time())
         made = make_source_with(self.store, name, life, 2, clocks)
         made.set_prepaid({ACCOUNT: BUDGET})
-        made.spread()
+        made.enable_preallocation()
         with trio.move_on_after(seconds):
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(made.run)
@@ -189,7 +189,7 @@
 
     @staticmethod
     def _dead(made_at: float) -> Holding:
-        limit = SpendLimit(Reading("theirs", made_at, made_at), used=0, burst=0, pace=RATE)
+        limit = SpendLimit(ClockReading("theirs", made_at, made_at), used=0, burst=0, pace=RATE)
         return Holding("i2-1", granted=900, spent=0, limit=limit, address="i2:1")
 
     def _put(self, store: MemoryStore, ledger: Ledger) -> None:
@@ -215,7 +215,7 @@
             store.late_appends = 0
             await trio.sleep(2)
             ledger = ledger_of(store)
-            close_former(ledger, "i2", "i2-2", NO_READING, "i2:1")
+            close_former(ledger, "i2", "i2-2", NO_CLOCK_READING, "i2:1")
             closed_at = trio.current_time()
             self._put(store, ledger)
             await trio.sleep(2)
@@ -224,20 +224,20 @@
 
     async def test_unreadable_ledger_is_read_as_at_the_first_look(self, autojump_clock) -> None:
         holder = Holder("i1", "i1-1", lambda: 2, OPTIONS, SteadyClocks(), at(0.0))
-        hand = AccountHand(ACCOUNT, holder, lambda: None, lambda: 10.0)
-        hand.set_prepaid(BUDGET)
-        hand.take_ledger(Ledger(), NO_READING)
-        hand.loaded = False
-        hand.take_ledger(Ledger(by_instance={"i2": self._dead(0.0)}), at(1.0))
+        budget = AccountBudget(ACCOUNT, holder, lambda: None, lambda: 10.0)
+        budget.set_prepaid(BUDGET)
+        budget.take_ledger(Ledger(), NO_CLOCK_READING)
+        budget.loaded = False
+        budget.take_ledger(Ledger(by_instance={"i2": self._dead(0.0)}), at(1.0))
         unproved = Ledger(closed=900, unproved={"i2": self._dead(0.0)})
-        hand.take_ledger(unproved, at(2.0))
-        assert not hand.is_due() or hand.plan().returned == {}
+        budget.take_ledger(unproved, at(2.0))
+        assert not budget.is_due() or budget.plan().returned == {}
 
 
 class SteadyClocks(Clocks):
     """Clocks that stand still."""
 
-    def read(self) -> Reading:
+    def read(self) -> ClockReading:
         """Return the same reading at all times."""
         return at(3.0)
 
@@ -258,7 +258,7 @@
             self._lives += 1
             clocks = FakeClocks(f"boot-{self._lives}", trio.current_time() - rng.uniform(0, 9))
             made = make_source_with(self.store, name, str(self._lives), 3, clocks)
-            made.spread()
+            made.enable_preallocation()
             with trio.move_on_after(rng.uniform(0.5, 6.0)):
                 async with trio.open_nursery() as nursery:
                     nursery.start_soon(made.run)
--- a/railtide/budgets/tests/test_report_identity.py
+++ b/railtide/budgets/tests/test_report_identity.py
@@ -27,7 +27,7 @@
 )
 from railtide.budgets.ledger_budget_source import LedgerBudgetSource
 from railtide.budgets.peer_reports import PeerReports
-from railtide.budgets.spend_limit import NO_READING, Reading, SpendLimit, units_at
+from railtide.budgets.spend_limit import NO_CLOCK_READING, ClockReading, SpendLimit, units_at
 from railtide.budgets.tests.test_ledger_budget_source import (
     ACCOUNT,
     OPTIONS,
@@ -105,7 +105,7 @@
         at_peer, at_cut, at_second = Spender(peer), Spender(cut), Spender(second)
         async with trio.open_nursery() as nursery:
             for made in (peer, cut):
-                made.spread()
+                made.enable_preallocation()
                 nursery.start_soon(made.run)
             nursery.start_soon(at_peer.spend, 1, 0.5, 10)
             await at_cut.spend(10, 0.5, 12)
@@ -121,7 +121,7 @@
 class _EarlierLimit(msgspec.Struct, array_like=True, frozen=True):
     """A limit as the release before `SpendLimit.pace_after_s` knows it."""
 
-    made: Reading
+    made: ClockReading
     used: int
     burst: int
     pace: int
@@ -154,20 +154,20 @@
 class TestReportThatAnEarlierReleaseRewrote:
     def test_is_still_the_report_that_was_seen_first(self) -> None:
         """8 s lie between the append before the report and the end; 1 s behind the rewriting."""
-        limit = SpendLimit(Reading("theirs", 70.0, 70.0), 100, 50, pace=20, pace_after_s=0.5)
+        limit = SpendLimit(ClockReading("theirs", 70.0, 70.0), 100, 50, pace=20, pace_after_s=0.5)
         reported = Ledger(by_instance={"b": Holding("b1", 1000, 100, limit=limit)})
         carried = rewritten(reported)
         closed = Ledger(closed=1000, billed=100, unproved=carried.by_instance)
         peers = PeerReports()
-        peers.observe(Ledger(), NO_READING, self._at(0.0))
+        peers.observe(Ledger(), NO_CLOCK_READING, self._at(0.0))
         peers.observe(reported, self._at(1.0), self._at(2.0))
         peers.observe(carried, self._at(8.0), self._at(8.5))
         peers.observe(closed, self._at(8.8), self._at(9.0))
         assert peers.used_at_most("b1") >= units_at(limit, 8.0)
 
     @staticmethod
-    def _at(seconds: float) -> Reading:
-        return Reading("own", seconds, 1e9 + seconds)
+    def _at(seconds: float) -> ClockReading:
+        return ClockReading("own", seconds, 1e9 + seconds)
 
 
 class TestLostAnswerToTwoAccounts:
@@ -177,7 +177,7 @@
         clocks = FakeClocks("own")
         made = make_source_with(store, "i1", "1", 0, clocks)
         made.set_prepaid({ACCOUNT: 1000, OTHER_ACCOUNT: 200_000})
-        made.spread()
+        made.enable_preallocation()
         callers = Spender(made, OTHER_ACCOUNT)
         beyond: list[int] = []
         async with trio.open_nursery() as nursery:
@@ -201,14 +201,14 @@
 
     @staticmethod
     def _put_dead_peer(store: MemoryStore) -> None:
-        limit = SpendLimit(Reading("theirs", 1.0, 1.0), used=0, burst=5, pace=1)
+        limit = SpendLimit(ClockReading("theirs", 1.0, 1.0), used=0, burst=5, pace=1)
         dead = Holding("i2-1", granted=100, spent=1, limit=limit, address="i2:1")
         store.put(OPTIONS.topic, ACCOUNT, ledger_to_bytes(Ledger(by_instance={"i2": dead})))
 
     @staticmethod
     async def _lose_the_answer_to_its_return(store: MemoryStore, callers: Spender) -> None:
         ledger = ledger_of(store)
-        close_former(ledger, "i2", "i2-2", NO_READING, "i2:1")
+        close_former(ledger, "i2", "i2-2", NO_CLOCK_READING, "i2:1")
         store.lose_answers = 1
         store.put(OPTIONS.topic, ACCOUNT, ledger_to_bytes(ledger))
         async with trio.open_nursery() as nursery:
--- a/railtide/budgets/tests/test_returned_bounds.py
+++ b/railtide/budgets/tests/test_returned_bounds.py
@@ -52,7 +52,7 @@
             clocks = FakeClocks(f"boot-{self._lives}", trio.current_time() - rng.uniform(0, 9))
             made = make_source_with(self.store, name, str(self._lives), len(NAMES), clocks)
             made.set_prepaid({ACCOUNT: BUDGET})
-            made.spread()
+            made.enable_preallocation()
             with trio.move_on_after(rng.uniform(4.0, 25.0)):
                 async with trio.open_nursery() as nursery:
                     nursery.start_soon(made.run)
--- a/railtide/budgets/tests/test_rollback.py
+++ b/railtide/budgets/tests/test_rollback.py
@@ -19,7 +19,7 @@
 from railtide.budgets.ledger_budget_source import LedgerBudgetSource
 from railtide.budgets.ledger_partition import CLOSED_S
 from railtide.budgets.rollback import OPENINGS_KEY
-from railtide.budgets.spend_limit import Reading, SpendLimit
+from railtide.budgets.spend_limit import ClockReading, SpendLimit
 from railtide.budgets.tests.test_ledger_budget_source import (
     ACCOUNT,
     OPTIONS,
@@ -47,7 +47,7 @@
 
 
 def held(made: LedgerBudgetSource) -> int:
-    return made._account(ACCOUNT).hand.granted
+    return made._account(ACCOUNT).allocation.granted
 
 
 class TestRollback:
@@ -93,11 +93,11 @@
         made = make_source(store)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(made.run)
-            made.spread()
+            made.enable_preallocation()
             for _ in range(10):
                 await spend(made, 10)
                 await trio.sleep(0.2)
-            in_hand = made._account(ACCOUNT).hand.available
+            in_hand = made._account(ACCOUNT).allocation.available
             assert in_hand > 0
             store.roll_back(store.copy())
             risen_at = trio.current_time()
@@ -134,7 +134,7 @@
             await trio.sleep(KNOWN_S)
             copy = store.copy()
             total = reserved.settle(0)
-            made._account(ACCOUNT).give_back()
+            made._account(ACCOUNT).return_unreserved()
             await trio.sleep(KNOWN_S)
             total += await spend(other, 800)
             assert total == 800
@@ -247,21 +247,21 @@
 
 class TestPeerReports:
     async def test_reports_of_a_former_era_prove_nothing(self, autojump_clock) -> None:
-        limit = SpendLimit(Reading("theirs", 70.0, 0.0), used=10, burst=5, pace=2)
+        limit = SpendLimit(ClockReading("theirs", 70.0, 0.0), used=10, burst=5, pace=2)
         dead = Holding("b1", granted=100, spent=10, limit=limit)
         alive = Ledger(by_instance={"b": dead})
         closed = Ledger(closed=100, billed=10, unproved={"b": dead})
         used = []
         for is_risen in (False, True):
-            hand = make_source(MemoryStore(era=1), boot="own")._account(ACCOUNT)
-            own_append = hand._holder.clocks.read()
+            budget = make_source(MemoryStore(era=1), boot="own")._account(ACCOUNT)
+            own_append = budget._holder.clocks.read()
             for ledger in (Ledger(), alive):
-                hand.take_ledger(ledger, own_append)
+                budget.take_ledger(ledger, own_append)
             if is_risen:
-                hand.note_rise()
+                budget.note_rise()
             await trio.sleep(1.0)
-            hand.take_ledger(closed, own_append)
-            used.append(hand._peers.used_at_most("b1"))
+            budget.take_ledger(closed, own_append)
+            used.append(budget._peers.used_at_most("b1"))
         assert used == [17, 100]
 
 
@@ -288,7 +288,7 @@
         async with trio.open_nursery() as nursery:
             for router in made:
                 nursery.start_soon(router.run)
-                router.spread()
+                router.enable_preallocation()
             async with trio.open_nursery() as callers:
                 for router in made:
                     callers.start_soon(self._call, router, Random(rng.random()), totals)
--- a/railtide/budgets/tests/test_rollback_rules.py
+++ b/railtide/budgets/tests/test_rollback_rules.py
@@ -8,17 +8,17 @@
 from hypothesis import strategies as st
 
 from railtide.budgets.ledger import (
-    Base,
     Holding,
     Ledger,
+    LedgerOrigin,
     committed,
     ledger_from_bytes,
     ledger_to_bytes,
 )
 from railtide.budgets.rollback import (
     MOST_OPENINGS,
+    EraOpening,
     Known,
-    Opening,
     carried,
     held_back_share,
     later_of,
@@ -27,7 +27,7 @@
     openings_to_bytes,
     unread_units,
 )
-from railtide.budgets.spend_limit import Reading, SpendLimit
+from railtide.budgets.spend_limit import ClockReading, SpendLimit
 from railtide.budgets.unread_reports import Report, UnreadReports
 
 ERA = 3
@@ -49,13 +49,13 @@
 
     def test_ledger_that_was_carried_stands_where_its_base_stood(self) -> None:
         again = Known(carried(known(2, 12, opened=2), ERA), 5)
-        assert again.ledger.base == Base(2, 12, ERA)
+        assert again.ledger.base == LedgerOrigin(2, 12, ERA)
         assert later_of(again, known(1, 11, opened=2), ERA) is again
         assert later_of(again, known(3, 13, opened=2), ERA).ledger.closed == 3
 
     def test_ledger_that_is_carried_once_more_keeps_its_base(self) -> None:
         once = Known(carried(known(2, 12, opened=2), ERA), 5)
-        assert carried(once, ERA + 1).base == Base(2, 12, ERA + 1)
+        assert carried(once, ERA + 1).base == LedgerOrigin(2, 12, ERA + 1)
 
     def test_what_was_said_meanwhile_stands_over_what_was_read_before(self) -> None:
         said, read = Holding("a1", 9, era=ERA), Holding("a1", 4, era=2)
@@ -84,16 +84,16 @@
 
 class TestOpening:
     def test_each_era_that_a_ledger_missed_holds_back(self) -> None:
-        openings = [Opening(1, 0.5), Opening(2, 0.01), Opening(3, 0.02)]
+        openings = [EraOpening(1, 0.5), EraOpening(2, 0.01), EraOpening(3, 0.02)]
         ledger = opened(Ledger(closed=7, opened=1), openings, 1000, era=3)
         assert (ledger.closed, ledger.opened, ledger.base) == (37, 3, None)
 
     def test_ledger_of_the_era_is_as_it_is(self) -> None:
         ledger = Ledger(closed=7, opened=3)
-        assert opened(ledger, [Opening(3, 0.5)], 1000, era=3) is ledger
+        assert opened(ledger, [EraOpening(3, 0.5)], 1000, era=3) is ledger
 
     def test_a_unit_in_part_is_held_back_whole(self) -> None:
-        assert opened(Ledger(), [Opening(2, 0.001)], 10, era=2).closed == 1
+        assert opened(Ledger(), [EraOpening(2, 0.001)], 10, era=2).closed == 1
 
     def test_share_of_the_gone_covers_what_each_may_spend_unread(self) -> None:
         for routers in range(1, 200):
@@ -103,7 +103,7 @@
                 assert held_back_share(gone, routers) * 1_000_000 >= may_spend - gone
 
     def test_openings_are_bounded_and_the_newest_are_kept(self) -> None:
-        many = [Opening(era) for era in range(2 * MOST_OPENINGS)]
+        many = [EraOpening(era) for era in range(2 * MOST_OPENINGS)]
         kept = openings_from_bytes(openings_to_bytes(many))
         assert len(kept) == MOST_OPENINGS
         assert kept[-1] == many[-1]
@@ -122,7 +122,7 @@
         assert ledger.by_instance["a"].era == 0
 
     def test_ledger_survives_its_encoding(self) -> None:
-        ledger = Ledger(1, 1, {"a": Holding("a1", 2, era=3, read=9)}, {}, 3, Base(2, 8, 3))
+        ledger = Ledger(1, 1, {"a": Holding("a1", 2, era=3, read=9)}, {}, 3, LedgerOrigin(2, 8, 3))
         assert ledger_from_bytes(ledger_to_bytes(ledger)) == ledger
 
 
@@ -140,7 +140,7 @@
         assert reports.units_at(0.0) == 800
 
     def test_limit_binds_like_a_grant(self) -> None:
-        limit = SpendLimit(Reading("boot", 10.0, 0.0), used=100, burst=50, pace=20)
+        limit = SpendLimit(ClockReading("boot", 10.0, 0.0), used=100, burst=50, pace=20)
         reports = UnreadReports()
         reports.add(Report(1000, limit, end=1))
         reports.note_read(1)
--- a/railtide/budgets/tests/test_shortfalls.py
+++ b/railtide/budgets/tests/test_shortfalls.py
@@ -22,9 +22,9 @@
 from railtide.budgets.shortfalls import (
     RENEW_S,
     SILENT_S,
-    Need,
-    NeedsSeen,
-    OwnNeed,
+    OwnShortfalls,
+    PeerShortfalls,
+    Shortfall,
     first_needs,
     forget_refused,
     note_refused,
@@ -65,7 +65,7 @@
         store.put(OPTIONS.topic, ACCOUNT, ledger_to_bytes(Ledger(closed=400, billed=400)))
         made = [make_source(store, name, routers=2, boot=name) for name in ("i1", "i2")]
         for each in made:
-            each.spread()
+            each.enable_preallocation()
             nursery.start_soon(each.run)
         await trio.sleep(1)
         await serve(made[0], 10, times=20, every_s=0.2)
@@ -180,7 +180,7 @@
         async with trio.open_nursery() as nursery:
             for each in made:
                 each.set_prepaid({ACCOUNT: 2_400})
-                each.spread()
+                each.enable_preallocation()
                 nursery.start_soon(each.run)
             await trio.sleep(1)
             for number in range(160):
@@ -193,30 +193,34 @@
 
 class TestNeed:
     def test_counts_as_long_as_it_is_renewed(self) -> None:
-        seen = NeedsSeen()
+        seen = PeerShortfalls()
         for number in range(4):
-            note_seen(seen, {"i2-1": Need(50, count=number)}, now=number * RENEW_S)
+            note_seen(seen, {"i2-1": Shortfall(50, count=number)}, now=number * RENEW_S)
         assert first_needs(seen, 3 * RENEW_S + SILENT_S) == 50
-        note_seen(seen, {"i2-1": Need(50, count=3)}, now=3 * RENEW_S + SILENT_S)
+        note_seen(seen, {"i2-1": Shortfall(50, count=3)}, now=3 * RENEW_S + SILENT_S)
         assert first_needs(seen, 3 * RENEW_S + SILENT_S + 0.1) == 0
 
     def test_is_gone_once_it_is_read_no_more(self) -> None:
-        seen = NeedsSeen()
-        note_seen(seen, {"i2-1": Need(50, count=1)}, now=0.0)
+        seen = PeerShortfalls()
+        note_seen(seen, {"i2-1": Shortfall(50, count=1)}, now=0.0)
         note_seen(seen, {}, now=0.1)
         assert first_needs(seen, now=0.1) == 0
 
     def test_of_two_that_lack_one_gives_way(self) -> None:
-        lacks = {"i1-1": Need(50, count=1), "i2-1": Need(50, count=1), "i3-1": Need(40, count=1)}
+        lacks = {
+            "i1-1": Shortfall(50, count=1),
+            "i2-1": Shortfall(50, count=1),
+            "i3-1": Shortfall(40, count=1),
+        }
         given = {}
         for reader, own in lacks.items():
-            seen = NeedsSeen()
+            seen = PeerShortfalls()
             note_seen(seen, {other: need for other, need in lacks.items() if other != reader}, 0.0)
             given[reader] = first_needs(seen, 0.0, own=(own.units, reader))
         assert given == {"i1-1": 40, "i2-1": 90, "i3-1": 0}
 
     def test_caller_that_comes_back_is_counted_once(self) -> None:
-        own = OwnNeed()
+        own = OwnShortfalls()
         for now in (0.0, 0.6):
             note_refused(own, 30, until=now + 1.0)
         note_refused(own, 40, until=1.6)
@@ -248,7 +252,7 @@
 
         async with trio.open_nursery() as nursery:
             for each in made:
-                each.spread()
+                each.enable_preallocation()
                 nursery.start_soon(each.run)
             async with trio.open_nursery() as small:
                 for each in made:
@@ -263,11 +267,11 @@
     async def test_refill_leaves_what_refused_callers_come_back_for(self, autojump_clock) -> None:
         """A router with traffic would fill its hand from what was returned for another's caller."""
         store = MemoryStore()
-        need = Need(300, count=1)
+        need = Shortfall(300, count=1)
         lacking = Holding("i2-1", granted=1, need=need)
         store.put(OPTIONS.topic, ACCOUNT, ledger_to_bytes(Ledger(700, 700, {"i2": lacking})))
         made = make_source(store, "i1", routers=2)
-        made.spread()
+        made.enable_preallocation()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(made.run)
             await trio.sleep(SILENT_S - 0.5)
--- a/railtide/edge/node.py
+++ b/railtide/edge/node.py
@@ -117,7 +117,7 @@
             rng,
             self._load.per_second,
             lambda: self._freshness.is_behind(),
-            lambda: self.budgets.read_ends(),
+            lambda: self.budgets.read_offsets(),
             lambda: self._pools.limit_news(),
         )
         self.budgets = LedgerBudgetSource(
@@ -132,7 +132,7 @@
             identity.address,
             RosterPeers(self.roster),
         )
-        self.roster.on_heard = self.budgets.note_peers
+        self.roster.on_heard = self.budgets.recheck_waiting
         self._pools = EdgePools(
             identity.instance,
             self.roster,
@@ -254,7 +254,7 @@
             while self.open_calls:
                 await trio.sleep(DRAIN_TICK_S)
         with trio.move_on_after(RETURN_S):
-            await self.budgets.give_back_all()
+            await self.budgets.return_all()
         logger.bind(open_calls=self.open_calls).info("left")
 
     async def _run_spreading(self) -> None:
@@ -262,7 +262,7 @@
         while not self.roster.caught_up:
             await trio.sleep(self.options.settle_s)
         await trio.sleep(self.options.roster.dead_after_s)
-        self.budgets.spread()
+        self.budgets.enable_preallocation()
 
     async def _say_when_ready(self) -> None:
         while not self.ready:
--- a/railtide/edge/peers.py
+++ b/railtide/edge/peers.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Mapping
 
-from railtide.budgets.peers import Life, Peers
+from railtide.budgets.peers import Peers, ProcessKey
 from railtide.membership.roster import Roster
 
 __all__ = ["RosterPeers"]
@@ -19,14 +19,14 @@
     def __init__(self, roster: Roster) -> None:
         self._roster = roster
 
-    def read_up_to(self, partition: int, shown: Mapping[Life, int]) -> float:
-        """See `Peers.read_up_to`."""
-        return self._roster.read_up_to(partition, shown)
+    def min_read_offset(self, partition: int, reported: Mapping[ProcessKey, int]) -> float:
+        """See `Peers.min_read_offset`."""
+        return self._roster.read_up_to(partition, reported)
 
-    def gone(self, era: int, opened: int) -> int:
-        """See `Peers.gone`."""
-        return self._roster.gone(era, opened)
+    def lost_routers(self, era: int, last_opened: int) -> int:
+        """See `Peers.lost_routers`."""
+        return self._roster.gone(era, last_opened)
 
-    def knows_former(self, era: int, opened: int) -> bool:
-        """See `Peers.knows_former`."""
-        return self._roster.knows_former(era, opened)
+    def heard_from_former(self, era: int, last_opened: int) -> bool:
+        """See `Peers.heard_from_former`."""
+        return self._roster.knows_former(era, last_opened)
--- a/railtide/edge/tests/rollback_fleet.py
+++ b/railtide/edge/tests/rollback_fleet.py
@@ -13,7 +13,7 @@
 from railtide.budgets.allocation_sizing import LedgerOptions
 from railtide.budgets.errors import BudgetError
 from railtide.budgets.ledger_budget_source import LedgerBudgetSource
-from railtide.budgets.spend_limit import Clocks, Reading
+from railtide.budgets.spend_limit import ClockReading, Clocks
 from railtide.configuration.models import AccountSettings
 from railtide.edge.peers import RosterPeers
 from railtide.journal.eras import Eras
@@ -116,9 +116,9 @@
     boot: str
     set_by_s: float = 0.0
 
-    def read(self) -> Reading:
+    def read(self) -> ClockReading:
         now = trio.current_time()
-        return Reading(self.boot, now, 1e9 + now + self.set_by_s)
+        return ClockReading(self.boot, now, 1e9 + now + self.set_by_s)
 
 
 @dataclass
@@ -154,7 +154,7 @@
             member,
             RosterOptions(),
             self.rng,
-            read_ends=lambda: self.budgets.read_ends(),
+            read_ends=lambda: self.budgets.read_offsets(),
         )
         self.budgets = LedgerBudgetSource(
             self.store,
@@ -167,9 +167,9 @@
             address=f"{self.name}:1",
             peers=RosterPeers(self.roster),
         )
-        self.roster.on_heard = self.budgets.note_peers
+        self.roster.on_heard = self.budgets.recheck_waiting
         self.budgets.set_prepaid({ACCOUNT: PREPAID})
-        self.budgets.spread()
+        self.budgets.enable_preallocation()
         with trio.CancelScope() as self.scope:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self.budgets.run)
--- a/railtide/edge/tests/test_rollback_fleet.py
+++ b/railtide/edge/tests/test_rollback_fleet.py
@@ -16,7 +16,7 @@
 
 from railtide.budgets.allocation_sizing import LedgerOptions
 from railtide.budgets.ledger import ledger_from_bytes
-from railtide.budgets.rollback import OPENINGS_KEY, Opening, openings_from_bytes
+from railtide.budgets.rollback import OPENINGS_KEY, EraOpening, openings_from_bytes
 from railtide.edge.tests.rollback_fleet import ACCOUNT, PREPAID, Machine, RollbackFleet
 
 EXAMPLES = int(os.environ.get("RAILTIDE_EXAMPLES", "30"))
@@ -67,7 +67,7 @@
         fleet.start(machine)
 
 
-def openings_of(fleet: RollbackFleet) -> list[Opening]:
+def openings_of(fleet: RollbackFleet) -> list[EraOpening]:
     return openings_from_bytes(fleet.memory.topic(TOPIC).newest_by_key[OPENINGS_KEY].value)
 
 
@@ -159,7 +159,7 @@
             await trio.sleep(3.0)
             fleet.memory.roll_back(copy)
             await trio.sleep(5.0)
-            assert openings_of(fleet)[-1] == Opening(2, 0.0, gone=0, is_known=True)
+            assert openings_of(fleet)[-1] == EraOpening(2, 0.0, gone=0, is_known=True)
 
         assert 0.98 * PREPAID < play(scenario, pause_s=0.05) <= PREPAID
 
--- a/railtide/journal/entries.py
+++ b/railtide/journal/entries.py
@@ -7,7 +7,7 @@
 import msgspec
 from msgspec import Struct
 
-from railtide.budgets.messages import Fence, Grant, Release, Return, TopUp, Waste
+from railtide.budgets.messages import Fence, Grant, GrantReturn, Release, TopUp, Waste
 from railtide.configuration.messages import Proposal
 from railtide.journal.errors import UnreadableBatch
 from railtide.membership.messages import Checkpointed, Close, Heartbeat, Leaving, Open
@@ -27,7 +27,7 @@
 Record = (
     TopUp
     | Grant
-    | Return
+    | GrantReturn
     | Fence
     | Release
     | Intent
--- a/railtide/journal/fold.py
+++ b/railtide/journal/fold.py
@@ -5,7 +5,7 @@
 
 from railtide.budgets import balance as budgets
 from railtide.budgets.balance import Balance
-from railtide.budgets.messages import Fence, Grant, Release, Return, TopUp, Waste
+from railtide.budgets.messages import Fence, Grant, GrantReturn, Release, TopUp, Waste
 from railtide.configuration.messages import Kind, Proposal
 from railtide.configuration.objects import propose, version_of
 from railtide.journal.entries import Code, Entry, Record, Verdict, record_of
@@ -184,9 +184,9 @@
     return _say(state, entry, holder, code, available=budgets.available(balance))
 
 
-def _on_return(state: State, entry: Entry, holder: HolderState, record: Return) -> Verdict:
+def _on_return(state: State, entry: Entry, holder: HolderState, record: GrantReturn) -> Verdict:
     balance = state.by_account.get(record.account)
-    done = balance is not None and budgets.give_back(balance, entry.holder, record.amount)
+    done = balance is not None and budgets.return_units(balance, entry.holder, record.amount)
     return _say(state, entry, holder, Code.OK if done else Code.REFUSED)
 
 
@@ -344,7 +344,7 @@
     Close: _on_close,
     TopUp: _on_top_up,
     Grant: _on_grant,
-    Return: _on_return,
+    GrantReturn: _on_return,
     Fence: _on_fence,
     Release: _on_release,
     Intent: _on_intent,
--- a/railtide/journal/tests/test_fold.py
+++ b/railtide/journal/tests/test_fold.py
@@ -1,7 +1,7 @@
 """Tests of railtide.journal.fold."""
 
 from railtide.budgets.balance import available
-from railtide.budgets.messages import Fence, Grant, Release, Return, TopUp, Waste
+from railtide.budgets.messages import Fence, Grant, GrantReturn, Release, TopUp, Waste
 from railtide.configuration.messages import Proposal
 from railtide.journal.checkpoint import state_from_bytes, state_to_bytes
 from railtide.journal.entries import Code, Entry, Record, make_entry
@@ -132,7 +132,7 @@
         log.write("op", TopUp(ACCOUNT, 100, "t"))
         log.write("a", Grant(ACCOUNT, 60, 10))
         log.write("b", Fence("a", log.seqs["a"]))
-        assert log.write("a", Return(ACCOUNT, 10)).code == Code.REFUSED
+        assert log.write("a", GrantReturn(ACCOUNT, 10)).code == Code.REFUSED
         assert available(log.balance) == 90
 
     def test_fenced_holder_gets_no_grant(self) -> None:
--- a/railtide/journal/tests/test_fold_machine.py
+++ b/railtide/journal/tests/test_fold_machine.py
@@ -5,7 +5,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from railtide.budgets.balance import available
-from railtide.budgets.messages import Fence, Grant, Return, TopUp
+from railtide.budgets.messages import Fence, Grant, GrantReturn, TopUp
 from railtide.journal.entries import Record
 from railtide.journal.tests.test_fold import ACCOUNT, HOLDERS, Log
 from railtide.requests.messages import Bill, Intent, Outcome
@@ -75,7 +75,7 @@
     def give_back(self, holder: str, amount: int) -> None:
         if self.hand[holder] >= amount:
             self.hand[holder] -= amount
-            self.waiting[holder].append((Return(ACCOUNT, amount), 0))
+            self.waiting[holder].append((GrantReturn(ACCOUNT, amount), 0))
 
     @rule(holder=st.sampled_from(HOLDERS))
     def deliver(self, holder: str) -> None:
--- a/railtide/platform/program.py
+++ b/railtide/platform/program.py
@@ -74,7 +74,7 @@
     log_level: str = "INFO",
     metrics_port: int = METRICS_PORT,
     budget_horizon_s: float = LedgerOptions.horizon_s,
-    budget_most_share: float = LedgerOptions.most_share,
+    budget_most_share: float = LedgerOptions.max_preallocated_share,
     budget_spread_share: float = LedgerOptions.spread_share,
 ) -> None:
     """Take callers' requests and answer them within their prepaid budgets, on the platform.
@@ -141,7 +141,7 @@
         ledger=LedgerOptions(
             partitions=min(LEDGER_PARTITIONS, boot.store_partitions),
             horizon_s=settings.budget_horizon_s,
-            most_share=settings.budget_most_share,
+            max_preallocated_share=settings.budget_most_share,
             spread_share=settings.budget_spread_share,
         ),
         leave_s=max(0.0, boot.grace_s - LEAVE_MARGIN_S),
--- a/railtide/process.py
+++ b/railtide/process.py
@@ -12,7 +12,7 @@
 import trio
 from loguru import logger
 
-from railtide.budgets.spend_limit import Clocks, NoClocks, Reading
+from railtide.budgets.spend_limit import ClockReading, Clocks, NoClocks
 from railtide.clocks import boot_time_s
 
 __all__ = [
@@ -64,9 +64,9 @@
     def __init__(self, boot: str) -> None:
         self._boot = boot
 
-    def read(self) -> Reading:
+    def read(self) -> ClockReading:
         """Return what they say now; see `Clocks.read`."""
-        return Reading(self._boot, boot_time_s(), time.time())
+        return ClockReading(self._boot, boot_time_s(), time.time())
 
 
 def kernel_clocks(boot_id: Path = BOOT_ID) -> Clocks:
--- a/railtide/requests/tests/test_cover.py
+++ b/railtide/requests/tests/test_cover.py
@@ -54,8 +54,8 @@
         self.writer = Writer("h", lambda entry, trace: None)
         self.reachable = True
         epoch = Epoch(self.writer)
-        hand = epoch.hand("a")
-        hand.granted, hand.reserved, hand.exposure_limit = 100, 10, exposure
+        allocation = epoch.allocation("a")
+        allocation.granted, allocation.reserved, allocation.exposure_limit = 100, 10, exposure
         services = Services(
             None,
             OPTIONS,
--- a/railtide/router/router.py
+++ b/railtide/router/router.py
@@ -142,7 +142,7 @@
         with trio.move_on_after(self.options.drain_s):
             while self.open_calls or self.budgets.epoch.open_reservations:
                 await trio.sleep(DRAIN_TICK_S)
-        self.budgets.give_back_all()
+        self.budgets.return_all()
         writer = self.budgets.epoch.writer
         writer.closed = True
         closing = writer.submit(Close())
@@ -276,7 +276,7 @@
             case MembersMessage():
                 self._on_members(message)
             case DemandMessage():
-                self.budgets.give_back(message.account)
+                self.budgets.return_idle(message.account)
             case LogStatusMessage():
                 self._on_status(message)
             case OrphanMessage():
@@ -288,7 +288,7 @@
             return
         ticket = epoch.writer.take_verdict(message.verdict)
         if ticket:
-            self.budgets.take_ticket(epoch, ticket)
+            self.budgets.apply_grant_verdict(epoch, ticket)
         if epoch.writer.closed and not epoch.writer.pending():
             del self._epoch_by_holder[message.holder]
 
--- a/tests/edge_soak/rollbacks.py
+++ b/tests/edge_soak/rollbacks.py
@@ -7,7 +7,7 @@
 import trio
 
 from railtide.budgets.allocation_sizing import LedgerOptions
-from railtide.budgets.rollback import OPENINGS_KEY, Opening, openings_from_bytes
+from railtide.budgets.rollback import OPENINGS_KEY, EraOpening, openings_from_bytes
 from railtide.platform.program import LEDGER_PARTITIONS
 from tests.edge_soak.callers import Callers
 from tests.edge_soak.checks import OK, spent
@@ -151,7 +151,7 @@
     return lines
 
 
-def _openings(fleet: Fleet) -> list[Opening]:
+def _openings(fleet: Fleet) -> list[EraOpening]:
     """Return the openings of the partition in which the fleet's one account is."""
     parts = [
         fleet.store.topic(LEDGER_TOPIC, number).newest_by_key for number in range(LEDGER_PARTITIONS)
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -175,7 +175,7 @@
     Mutant(
         "exposure-not-bounded",
         "budgets/allocation.py",
-        "return hand.exposed + amount <= hand.exposure_limit",
+        "return allocation.exposed + amount <= allocation.exposure_limit",
         "return True",
         (SINGLE, "railtide/budgets/tests"),
     ),
@@ -281,13 +281,13 @@
         "grant-taken-before-it-is-written",
         "budgets/account_budget.py",
         "        own.granted += granted\n",
-        "        own.granted += granted\n        self.hand.granted += granted\n",
+        "        own.granted += granted\n        self.allocation.granted += granted\n",
         (LEDGERS,),
     ),
     Mutant(
         "unreadable-ledger-taken-for-an-empty-one",
         "budgets/ledger_partition.py",
-        "            self.hand(account).loaded = False\n",
+        "            self.budget(account).loaded = False\n",
         "            self._unreadable.discard(account)\n",
         (LEDGERS,),
     ),
@@ -442,8 +442,8 @@
     Mutant(
         "spend-limit-not-kept-to",
         "budgets/account_budget.py",
-        "if amount <= self._headroom() and reserve(self.hand, amount):",
-        "if reserve(self.hand, amount):",
+        "if amount <= self._headroom() and reserve(self.allocation, amount):",
+        "if reserve(self.allocation, amount):",
         (LEDGERS,),
     ),
     Mutant(
@@ -456,8 +456,8 @@
     Mutant(
         "limit-without-what-is-reserved",
         "budgets/allocation_limits.py",
-        "used = self._hand.spent + self._hand.reserved\n        limit",
-        "used = self._hand.spent\n        limit",
+        "used = self._allocation.spent + self._allocation.reserved\n        limit",
+        "used = self._allocation.spent\n        limit",
         (LEDGERS,),
     ),
     Mutant(
@@ -477,8 +477,8 @@
     Mutant(
         "losses-together-unbounded",
         "budgets/allocation_sizing.py",
-        "return round(min(left * options.most_share, may_be_lost))",
-        "return round(left * options.most_share)",
+        "return round(min(left * options.max_preallocated_share, may_be_lost))",
+        "return round(left * options.max_preallocated_share)",
         (LEDGERS + "/test_losses.py",),
     ),
     Mutant(
@@ -498,7 +498,7 @@
     Mutant(
         "peer-proves-without-having-seen-the-ledger-before",
         "budgets/peer_reports.py",
-        "after = NO_READING if first else own_append",
+        "after = NO_CLOCK_READING if first else own_append",
         "after = own_append",
         (LEDGERS + "/test_peer_reports.py",),
     ),
@@ -624,8 +624,10 @@
     Mutant(
         "units-returned-that-requests-have-reserved",
         "budgets/account_budget.py",
-        "        take_back(self.hand, self._idle())\n",
-        "        self.hand.granted -= self._idle() + bool(self._recalled()) * self.hand.reserved\n",
+        "        take_back(self.allocation, self._idle())\n",
+        "        self.allocation.granted -= (\n"
+        "            self._idle() + bool(self._recalled()) * self.allocation.reserved\n"
+        "        )\n",
         (LEDGERS,),
     ),
     Mutant(
@@ -638,7 +640,7 @@
     Mutant(
         "returned-units-written-before-they-leave-the-hand",
         "budgets/account_budget.py",
-        "        take_back(self.hand, self._idle())\n        own = self._holding()\n",
+        "        take_back(self.allocation, self._idle())\n        own = self._holding()\n",
         "        own = self._holding()\n        own.granted -= self._idle()\n",
         (LEDGERS,),
     ),
@@ -1157,8 +1159,8 @@
     Mutant(
         "granted-caller-waits-for-all-other-ledgers",
         "budgets/ledger_partition.py",
-        "            hand.take(change)\n            hand.wake()\n",
-        "            hand.take(change)\n",
+        "            budget.take(change)\n            budget.wake()\n",
+        "            budget.take(change)\n",
         (f"{LEDGERS}/test_large_partition.py",),
     ),
     Mutant(
@@ -2166,7 +2168,7 @@
     Mutant(
         "nobody-is-taken-to-know",
         "budgets/ledger_partition.py",
-        "        is_known = not gone or (self._was_open and peers.knows_former(era, last))\n",
+        "        is_known = not gone or (self._was_open and peers.heard_from_former(era, last))\n",
         "        is_known = True\n",
         (FLEET,),
     ),
@@ -2180,7 +2182,7 @@
     Mutant(
         "ledger-that-a-copy-lacks-is-not-written-again",
         "budgets/ledger_partition.py",
-        "            self._to_carry |= self._known_by_account.keys() - shown\n",
+        "            self._to_carry |= self._known_by_account.keys() - seen_keys\n",
         "            pass\n",
         (LEDGER_ROLLBACK,),
     ),
