--- a/bench/lanes.py
+++ b/bench/lanes.py
@@ -14,8 +14,14 @@
 from railtide.lanes.queue import FairLanes, Fifo, Urgency, WaitingQueue
 from railtide.lanes.scheduler import PoolScheduler, WaitingRequest
 from railtide.membership.instances import Instance
-from railtide.upstreams.choice import Affinity, Choice, RandomChoice, RoundRobin, TwoChoices
-from railtide.upstreams.load import LoadReport
+from railtide.upstreams.balancing import (
+    Affinity,
+    BalancingPolicy,
+    RandomChoice,
+    RoundRobin,
+    TwoChoices,
+)
+from railtide.upstreams.upstream_state import LoadReport
 
 ENGINES = 5
 SLOTS = 8
@@ -40,7 +46,7 @@
 async def saturate(queue: WaitingQueue, urgent_share: int) -> dict[Urgency, HdrHistogram]:
     """Keep bulk always waiting, send urgent requests beside it; return the waits."""
     rng = Random(3)
-    scheduler = PoolScheduler(TwoChoices(rng), queue, urgent_share, most_waiting=10_000)
+    scheduler = PoolScheduler(TwoChoices(rng), queue, urgent_share, max_waiting=10_000)
     scheduler.set_upstreams(instances(SLOTS))
     waits = {urgency: histogram() for urgency in Urgency}
 
@@ -68,7 +74,7 @@
     return waits
 
 
-async def balance(choice: Choice) -> HdrHistogram:
+async def balance(choice: BalancingPolicy) -> HdrHistogram:
     """Let routers that see late reports share engines of uneven speed; return answer times."""
     rng = Random(5)
     pool = instances(1000)
@@ -86,7 +92,9 @@
             await trio.sleep(REPORT_LAG_S)
             for scheduler in schedulers:
                 for index, running in enumerate(seen):
-                    scheduler.take_report(f"e{index}", LoadReport(running, 0, False, taken_at))
+                    scheduler.apply_load_report(
+                        f"e{index}", LoadReport(running, 0, False, taken_at)
+                    )
 
     async def request(scheduler: PoolScheduler) -> None:
         now = trio.current_time()
--- a/railtide/edge/pools.py
+++ b/railtide/edge/pools.py
@@ -12,14 +12,14 @@
 from railtide.membership.instances import Instance
 from railtide.membership.roster import Roster
 from railtide.membership.upstream_list import UpstreamList
-from railtide.upstreams.choice import PrefixAffinity, TwoChoices
+from railtide.upstreams.advertised_limit import LimitUpdate
+from railtide.upstreams.balancing import PrefixAffinity, TwoChoices
 from railtide.upstreams.client import UpstreamClient
 from railtide.upstreams.limit_shares import LimitShares
-from railtide.upstreams.load import note_end
+from railtide.upstreams.long_prompt_isolation import LongPromptIsolation
 from railtide.upstreams.notice import UpstreamNotice
-from railtide.upstreams.separation import Separation
 from railtide.upstreams.slow_start import SlowStart, SlowStartShares
-from railtide.upstreams.stated_limit import LimitNews
+from railtide.upstreams.upstream_state import note_crash
 
 __all__ = ["EdgePools"]
 
@@ -68,7 +68,7 @@
             own, lambda: [entrance.name for entrance in roster.named()]
         )
         self._limit_shares = LimitShares(own, roster.visits)
-        roster.on_limits = self.take_limit_news
+        roster.on_limits = self.apply_limit_updates
 
     # -- what the store says ------------------------------------------------------------------
 
@@ -97,7 +97,7 @@
         self._on_listed([after[new] for new in after.keys() - before.keys()])
 
     def _add(self, pool: str) -> None:
-        choice = Separation(PrefixAffinity(TwoChoices(self._rng)))
+        choice = LongPromptIsolation(PrefixAffinity(TwoChoices(self._rng)))
         scheduler = PoolScheduler(choice, urgent_share=0, trusts_list=True)
         scheduler.set_drained(self.drained.names)
         scheduler.set_limit_shares(self._limit_shares)
@@ -107,8 +107,8 @@
     def _set_slow_start(self, pool: str) -> None:
         slow_start = self._slow_start_by_pool.get(pool)
         if slow_start:
-            pause_s = self._slow_start_shares.pause_s
-            self.schedulers_by_pool[pool].set_slow_start(slow_start, pause_s)
+            interval_s = self._slow_start_shares.interval_s
+            self.schedulers_by_pool[pool].set_slow_start(slow_start, interval_s)
 
     def _set_drained(self, domains: frozenset[str], ended: frozenset[str]) -> None:
         for scheduler in self.schedulers_by_pool.values():
@@ -122,11 +122,11 @@
         if scheduler is None:
             return
         if notice.load:
-            scheduler.take_report(upstream.name, notice.load)
+            scheduler.apply_load_report(upstream.name, notice.load)
         if notice.limit:
-            scheduler.notices.take_limit(upstream.name, notice.limit)
+            scheduler.notices.apply_limit_report(upstream.name, notice.limit)
         if notice.rest_s:
-            scheduler.notices.take_rest(upstream.name, notice.rest_s)
+            scheduler.notices.apply_rest(upstream.name, notice.rest_s)
         if notice.leaving:
             self.listed.note_leaving(upstream)
             self.listed.settle()
@@ -138,24 +138,24 @@
         is_same = known is not None and known.instance.incarnation == upstream.incarnation
         return scheduler if is_same else None
 
-    def limit_news(self) -> tuple[LimitNews, ...]:
+    def limit_updates(self) -> tuple[LimitUpdate, ...]:
         """Return what other routers are to be told of upstreams' limits."""
         schedulers = self.schedulers_by_pool.values()
-        return tuple(news for scheduler in schedulers for news in scheduler.notices.limit_news())
+        return tuple(news for scheduler in schedulers for news in scheduler.notices.limit_updates())
 
-    def take_limit_news(self, told: tuple[LimitNews, ...]) -> None:
+    def apply_limit_updates(self, told: tuple[LimitUpdate, ...]) -> None:
         """Take what another router tells of upstreams' limits."""
         heard_at = trio.current_time()
         for news in told:
             for scheduler in self.schedulers_by_pool.values():
-                scheduler.notices.take_limit_news(news, heard_at)
+                scheduler.notices.apply_limit_update(news, heard_at)
 
     def eject_life(self, life: str) -> None:
         """Use a life that ended no more, by its digest, whichever router saw its end."""
         for scheduler in self.schedulers_by_pool.values():
             for upstream in scheduler.by_name.values():
                 if life_digest(upstream.instance.incarnation) == life:
-                    note_end(upstream, trio.current_time())
+                    note_crash(upstream, trio.current_time())
 
 
 def _by_incarnation(scheduler: PoolScheduler) -> dict[str, Instance]:
--- a/railtide/platform/calls.py
+++ b/railtide/platform/calls.py
@@ -11,7 +11,7 @@
 from railtide.platform import names
 from railtide.requests.call import Call, Prices, Usage, cost_of
 from railtide.requests.errors import InvalidRequest, Unauthorized, UnknownRoute
-from railtide.upstreams.choice import Affinity
+from railtide.upstreams.balancing import Affinity
 
 __all__ = ["call_of"]
 
@@ -65,7 +65,7 @@
         stream=route.stream,
         repeatable=route.repeatable,
         affinity=_affinity_of(request, tokens),
-        attempts=route.attempts,
+        max_attempts=route.attempts,
         goal_s=route.goal_s,
         pause_goal_s=route.pause_goal_s,
         rank=priority,
--- a/railtide/upstreams/tests/test_separation.py
+++ b/railtide/upstreams/tests/test_long_prompt_isolation.py
@@ -1,4 +1,4 @@
-"""Tests of railtide.upstreams.separation: what streams suffer beside long prompts."""
+"""Tests of railtide.upstreams.long_prompt_isolation: pauses of streams beside long prompts."""
 
 import heapq
 from dataclasses import dataclass, field
@@ -7,12 +7,12 @@
 import pytest
 
 from railtide.membership.instances import Instance
-from railtide.upstreams.choice import Affinity, Choice, PrefixAffinity, TwoChoices
-from railtide.upstreams.load import Upstream
-from railtide.upstreams.separation import Separation, long_side
+from railtide.upstreams.balancing import Affinity, BalancingPolicy, PrefixAffinity, TwoChoices
+from railtide.upstreams.long_prompt_isolation import LongPromptIsolation, long_prompt_upstreams
+from railtide.upstreams.upstream_state import Upstream
 
-LONG = Affinity("subject", worth=16.0, reading=7.0, answering=0.2)
-SHORT = Affinity("chat", worth=0.5, reading=1.6, answering=0.7)
+LONG = Affinity("subject", prefix_cost=16.0, prefill_cost=7.0, decode_cost=0.2)
+SHORT = Affinity("chat", prefix_cost=0.5, prefill_cost=1.6, decode_cost=0.7)
 
 
 def upstreams(count: int) -> list[Upstream]:
@@ -21,12 +21,12 @@
 
 @dataclass
 class Load:
-    """Streams of 4 s and long prompts of 0.3 s at some upstreams, in events on one clock.
+    """Event simulation of streams of 4 s and long prompts of 0.3 s at six upstreams.
 
-    A stream pauses for too long when two long prompts are read beside it at once.
+    A stream pauses for too long when its upstream processes two long prompts at once.
     """
 
-    choice: Choice
+    choice: BalancingPolicy
     rng: Random
     streams: int = 0
     paused: int = 0
@@ -34,7 +34,7 @@
     ends: list[tuple[float, int, int, bool]] = field(default_factory=list)
 
     def play(self, seconds: float = 60.0, streams_s: float = 14.0, prompts_s: float = 8.0) -> None:
-        """Let requests come at random, so many a second of each kind."""
+        """Send requests at random times, at the given rates per second of each kind."""
         all_of = upstreams(6)
         reading = [0] * len(all_of)
         paused_at = [-1.0] * len(all_of)
@@ -68,10 +68,10 @@
 
 class TestLoad:
     @pytest.mark.parametrize("seed", range(3))
-    def test_few_streams_pause_beside_long_prompts(self, seed: int) -> None:
+    def test_isolation_reduces_streams_that_pause(self, seed: int) -> None:
         mixed = Load(PrefixAffinity(TwoChoices(Random(seed))), Random(seed))
         mixed.play()
-        apart = Load(Separation(PrefixAffinity(TwoChoices(Random(seed)))), Random(seed))
+        apart = Load(LongPromptIsolation(PrefixAffinity(TwoChoices(Random(seed)))), Random(seed))
         apart.play()
         assert mixed.paused > 0.14 * mixed.streams
         assert apart.paused < 0.04 * apart.streams
@@ -80,20 +80,20 @@
 
 class TestSeparation:
     @staticmethod
-    def _chosen(choice: Choice, affinity: Affinity, now: float) -> set[str]:
+    def _chosen(choice: BalancingPolicy, affinity: Affinity, now: float) -> set[str]:
         all_of = upstreams(6)
         return {choice.choose(all_of, affinity, now).instance.name for _ in range(60)}
 
-    def test_streams_that_do_not_pause_leave_all_to_everyone(self) -> None:
-        choice = Separation(TwoChoices(Random(1)))
+    def test_without_pauses_all_requests_use_all_upstreams(self) -> None:
+        choice = LongPromptIsolation(TwoChoices(Random(1)))
         for second in range(20):
             assert not choice.note_stream(False, float(second))
         assert len(self._chosen(choice, LONG, 20.0)) == 6
 
-    def test_two_routers_choose_the_same_upstreams(self) -> None:
+    def test_all_routers_isolate_at_the_same_upstreams(self) -> None:
         sides = []
         for seed in (1, 2):
-            choice = Separation(TwoChoices(Random(seed)))
+            choice = LongPromptIsolation(TwoChoices(Random(seed)))
             assert [choice.note_stream(True, 0.0) for _ in range(3)] == [False, True, False]
             for _ in range(10):
                 choice.choose(upstreams(6), SHORT, 3.0)
@@ -102,15 +102,15 @@
         assert sides[0] == sides[1]
         assert sides[0][0].isdisjoint(sides[0][1])
 
-    def test_is_tried_without_after_a_while(self) -> None:
-        choice = Separation(TwoChoices(Random(1)))
+    def test_isolation_ends_after_a_while(self) -> None:
+        choice = LongPromptIsolation(TwoChoices(Random(1)))
         for second in range(3):
             choice.note_stream(True, float(second))
         assert len(self._chosen(choice, LONG, 100.0)) == 6
 
-    def test_lost_upstream_moves_one_place_only(self) -> None:
+    def test_loss_of_an_upstream_changes_no_other_assignment(self) -> None:
         names = [f"e{n}" for n in range(6)]
-        whole = long_side(names, 0.5)
+        whole = long_prompt_upstreams(names, 0.5)
         for lost in names:
-            left = long_side([name for name in names if name != lost], 0.6)
+            left = long_prompt_upstreams([name for name in names if name != lost], 0.6)
             assert len(whole - left - {lost}) == 0
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -55,7 +55,7 @@
 UPSTREAM_LIST = "railtide/membership/tests/test_upstream_list.py"
 DRAINS = "railtide/platform/tests/test_drained_domains.py"
 SLOW_START = "railtide/lanes/tests/test_slow_start.py"
-STATED_LIMITS = "railtide/lanes/tests/test_stated_limits.py"
+STATED_LIMITS = "railtide/lanes/tests/test_advertised_limits.py"
 LIMIT_SHARES = "railtide/upstreams/tests/test_limit_shares.py"
 LEAVING = "railtide/platform/tests/test_leaving_engines.py"
 RESTING = "railtide/platform/tests/test_resting_engines.py"
@@ -112,7 +112,7 @@
     Mutant(
         "key-billed-twice",
         "journal/fold.py",
-        "    if is_beaten(state.registry, record, request):",
+        "    if is_key_taken(state.registry, record, request):",
         "    if False:",
         (FOLD,),
     ),
@@ -153,7 +153,7 @@
     ),
     Mutant(
         "proof-trusted-after-pause",
-        "requests/cover.py",
+        "requests/commit.py",
         "return self._intent.durable and age",
         "return False and age",
         ("railtide/requests/tests",),
@@ -203,7 +203,7 @@
     Mutant(
         "lost-try-not-counted",
         "requests/execution.py",
-        "wasted = self._cover.waste_of(len(self._lost_tries))",
+        "wasted = self._commit.wasted_units(len(self._lost_attempts))",
         "wasted = 0",
         (SINGLE,),
     ),
@@ -237,7 +237,7 @@
     ),
     Mutant(
         "settled-elsewhere-answered",
-        "requests/cover.py",
+        "requests/commit.py",
         "if verdict and verdict.code == Code.NOT_OPEN",
         "if False and verdict.code == Code.NOT_OPEN",
         (SINGLE,),
@@ -251,7 +251,7 @@
     ),
     Mutant(
         "claim-without-a-log",
-        "requests/cover.py",
+        "requests/commit.py",
         "        if not self._services.log_reachable():\n            raise ClaimUnavailable(",
         "        if False:\n            raise ClaimUnavailable(",
         (SINGLE,),
@@ -414,7 +414,7 @@
     Mutant(
         "prompt-read-for-ever",
         "lanes/scheduler.py",
-        "        slot.upstream.reading -= slot.reading\n",
+        "        slot.upstream.prefill_load -= slot.prefill_load\n",
         "",
         ("railtide/lanes/tests",),
     ),
@@ -532,23 +532,23 @@
     ),
     Mutant(
         "long-prompts-beside-streams",
-        "upstreams/separation.py",
-        " or now >= self._apart_until",
+        "upstreams/long_prompt_isolation.py",
+        " or now >= self._isolated_until",
         " or True",
         ("railtide/upstreams/tests",),
     ),
     Mutant(
         "long-prompts-always-apart",
-        "upstreams/separation.py",
-        "if self._paused < max(LEAST_PAUSED, self._streams * PAUSED_SHARE):",
+        "upstreams/long_prompt_isolation.py",
+        "if self._paused < max(MIN_PAUSED, self._streams * PAUSED_SHARE):",
         "if False:",
         ("railtide/upstreams/tests",),
     ),
     Mutant(
         "refusals-count-as-attempts",
         "requests/execution.py",
-        "attempt >= most_sent",
-        "attempt >= most_runs",
+        "attempt >= send_limit",
+        "attempt >= attempt_limit",
         (PLATFORM,),
     ),
     Mutant(
@@ -674,22 +674,22 @@
     ),
     Mutant(
         "run-without-an-event-taken-for-whole",
-        "requests/events.py",
-        '        self._rest = b""\n        self.at_event_end = False',
-        '        self._rest = b""\n        self.at_event_end = True',
+        "requests/event_stream.py",
+        '        self._buffer = b""\n        self.at_event_end = False',
+        '        self._buffer = b""\n        self.at_event_end = True',
         (ENDS,),
     ),
     Mutant(
         "runs-joined-over-a-missing-event",
-        "requests/events.py",
-        "if self._joins and self._counts_up and not follows:",
+        "requests/event_stream.py",
+        "if self._is_resuming and self._ids_sequential and not follows:",
         "if False:",
         ("railtide/requests/tests", ENDS),
     ),
     Mutant(
         "ids-held-to-count-up-within-a-run",
-        "requests/events.py",
-        "if self._joins and self._counts_up and not follows:",
+        "requests/event_stream.py",
+        "if self._is_resuming and self._ids_sequential and not follows:",
         "if not follows:",
         ("railtide/requests/tests",),
     ),
@@ -1096,7 +1096,7 @@
     Mutant(
         "address-where-nobody-listens-is-tried-again",
         "requests/execution.py",
-        "            note_end(upstream, now)\n",
+        "            note_crash(upstream, now)\n",
         "            pass\n",
         (CRASHING,),
     ),
@@ -2311,7 +2311,7 @@
     Mutant(
         "waiting-for-nothing",
         "lanes/scheduler.py",
-        "            self._refuse_waiting()\n",
+        "            self._refuse_all()\n",
         "            pass\n",
         (DRAINS,),
     ),
@@ -2325,8 +2325,8 @@
     Mutant(
         "each-router-sends-to-a-cold-upstream",
         "upstreams/slow_start.py",
-        "return pause_s(len(sharing), per_s) if self._own in sharing else math.inf",
-        "return pause_s(len(sharing), per_s)",
+        "return interval_s(len(sharing), per_s) if self._own in sharing else math.inf",
+        "return interval_s(len(sharing), per_s)",
         ("railtide/upstreams/tests/test_slow_start.py",),
     ),
     Mutant(
@@ -2346,7 +2346,7 @@
     Mutant(
         "record-of-a-cold-upstream-passed-over",
         "lanes/pool_upstreams.py",
-        "            known.cold_until = max(known.cold_until, instance.warm_at)\n",
+        "            upstream.cold_until = max(upstream.cold_until, instance.warm_at)\n",
         "",
         (SLOW_START,),
     ),
@@ -2367,8 +2367,8 @@
     Mutant(
         "no-pace-at-an-upstream-with-a-limit",
         "lanes/admission.py",
-        "return upstream.limit.in_force or self._is_slow(upstream, now)",
-        "return self._is_slow(upstream, now)",
+        "return upstream.limit.in_force or self._is_slow_starting(upstream, now)",
+        "return self._is_slow_starting(upstream, now)",
         (STATED_LIMITS,),
     ),
     Mutant(
@@ -2387,22 +2387,22 @@
     ),
     Mutant(
         "late-answer-ends-a-limit",
-        "upstreams/stated_limit.py",
-        "if per_s > limit.per_s and report.sent_at <= limit.told_at:",
+        "upstreams/advertised_limit.py",
+        "if per_s > limit.per_s and report.sent_at <= limit.advertised_at:",
         "if False:",
-        ("railtide/upstreams/tests/test_stated_limit.py",),
+        ("railtide/upstreams/tests/test_advertised_limit.py",),
     ),
     Mutant(
         "limit-that-overlapping-answers-never-end",
-        "upstreams/stated_limit.py",
+        "upstreams/advertised_limit.py",
         "        return False\n    changed",
-        "        limit.told_at = now\n        return False\n    changed",
-        ("railtide/upstreams/tests/test_stated_limit.py",),
+        "        limit.advertised_at = now\n        return False\n    changed",
+        ("railtide/upstreams/tests/test_advertised_limit.py",),
     ),
     Mutant(
         "limit-that-some-routers-never-see-end",
         "lanes/admission.py",
-        "return patience if quiet_s >= patience else math.inf",
+        "return probe_after if unheard_s >= probe_after else math.inf",
         "return math.inf",
         (STATED_LIMITS,),
     ),
@@ -2421,17 +2421,17 @@
     ),
     Mutant(
         "news-of-a-limit-that-may-be-older-is-taken",
-        "upstreams/stated_limit.py",
-        "    if at - NEWS_LAG_S < limit.told_at:\n        return False\n",
+        "upstreams/advertised_limit.py",
+        "    if at - UPDATE_LAG_S < limit.advertised_at:\n        return False\n",
         "",
-        ("railtide/upstreams/tests/test_stated_limit.py",),
+        ("railtide/upstreams/tests/test_advertised_limit.py",),
     ),
     Mutant(
         "end-of-a-limit-told-as-of-its-first-answer",
-        "upstreams/stated_limit.py",
-        "    if now < limit.news_until:\n        limit.own",
+        "upstreams/advertised_limit.py",
+        "    if now < limit.updates_until:\n        limit.own",
         "    if limit.in_force or changed:\n        limit.own",
-        ("railtide/upstreams/tests/test_stated_limit.py",),
+        ("railtide/upstreams/tests/test_advertised_limit.py",),
     ),
     Mutant(
         "limits-heard-from-a-backlog",
@@ -2443,21 +2443,21 @@
     Mutant(
         "limits-of-others-not-heard",
         "edge/pools.py",
-        "        roster.on_limits = self.take_limit_news\n",
+        "        roster.on_limits = self.apply_limit_updates\n",
         "",
         (PLATFORM_LIMITS,),
     ),
     Mutant(
         "idle-routers-have-no-part-of-a-high-limit",
         "upstreams/limit_shares.py",
-        "return idle_pause_s if has_idle_part else math.inf",
+        "return idle_interval_s if has_idle_share else math.inf",
         "return math.inf",
         (LIMIT_SHARES,),
     ),
     Mutant(
         "idle-routers-take-a-part-beyond-the-limit",
         "upstreams/limit_shares.py",
-        "shared = (1 - IDLE_SHARE) * per_s if has_idle_part else per_s",
+        "shared = (1 - IDLE_SHARE) * per_s if has_idle_share else per_s",
         "shared = per_s",
         (LIMIT_SHARES,),
     ),
@@ -2471,7 +2471,7 @@
     Mutant(
         "waiting-for-what-a-limit-took-away",
         "lanes/scheduler.py",
-        "        self._refuse_late()\n",
+        "        self._refuse_unservable()\n",
         "",
         (STATED_LIMITS,),
     ),
@@ -2527,28 +2527,28 @@
     Mutant(
         "rest-not-kept",
         "lanes/admission.py",
-        "            return upstream.rests_until\n",
+        "            return upstream.resting_until\n",
         "            return -math.inf\n",
         (RESTING,),
     ),
     Mutant(
         "rest-of-a-paced-upstream-not-kept",
         "lanes/admission.py",
-        "return max(upstream.rests_until, upstream.sent_at + pause_s)",
-        "return upstream.sent_at + pause_s",
+        "return max(upstream.resting_until, upstream.sent_at + interval_s)",
+        "return upstream.sent_at + interval_s",
         (STATED_LIMITS,),
     ),
     Mutant(
         "rest-counts-as-a-failure",
         "requests/execution.py",
-        "        if not isinstance(err, UpstreamRefused) or now >= upstream.rests_until:",
+        "        if not isinstance(err, UpstreamRefused) or now >= upstream.resting_until:",
         "        if True:",
         (RESTING,),
     ),
     Mutant(
         "resting-upstreams-count-as-capacity",
         "lanes/pool_upstreams.py",
-        "            if now < upstream.rests_until:\n                continue\n",
+        "            if now < upstream.resting_until:\n                continue\n",
         "",
         (RESTING,),
     ),
@@ -2556,13 +2556,13 @@
         "ejected-upstream-idle-while-all-others-rest",
         "lanes/pool_upstreams.py",
         "or open_now\n        free",
-        "or [u for u in staying if not is_ejected(u, now)] or open_now\n        free",
+        "or [u for u in usable if not is_ejected(u, now)] or open_now\n        free",
         (RESTING,),
     ),
     Mutant(
         "shorter-rest-replaces-a-longer-one",
         "lanes/pool_notices.py",
-        "        if until <= upstream.rests_until:\n            return\n",
+        "        if until <= upstream.resting_until:\n            return\n",
         "",
         (RESTING,),
     ),
@@ -2576,7 +2576,7 @@
     Mutant(
         "endless-rest",
         "lanes/pool_notices.py",
-        "until = now + min(rest_s, MOST_REST_S)",
+        "until = now + min(rest_s, MAX_REST_S)",
         "until = now + rest_s",
         (RESTING,),
     ),
@@ -2590,23 +2590,23 @@
     Mutant(
         "refusal-does-not-say-what-holds",
         "lanes/scheduler.py",
-        'return f"{text}; of {len(self.by_name)} upstreams {held}" if held else text',
-        "return text",
+        'return f"{message}; of {len(self.by_name)} upstreams {blocked}" if blocked else message',
+        "return message",
         ("railtide/lanes/tests/test_admission.py",),
     ),
     Mutant(
         "no-failure-counts-within-a-rest",
         "requests/execution.py",
-        "        if not isinstance(err, UpstreamRefused) or now >= upstream.rests_until:",
-        "        if now >= upstream.rests_until:",
+        "        if not isinstance(err, UpstreamRefused) or now >= upstream.resting_until:",
+        "        if now >= upstream.resting_until:",
         (RESTING,),
     ),
     Mutant(
         "limit-beyond-any-rate-is-told-on",
-        "upstreams/stated_limit.py",
-        "max(LEAST_PER_S, report.per_s) if report.per_s <= MOST_PER_S else math.inf",
-        "max(LEAST_PER_S, report.per_s)",
-        ("railtide/upstreams/tests/test_stated_limit.py",),
+        "upstreams/advertised_limit.py",
+        "max(MIN_PER_S, report.per_s) if report.per_s <= MAX_PER_S else math.inf",
+        "max(MIN_PER_S, report.per_s)",
+        ("railtide/upstreams/tests/test_advertised_limit.py",),
     ),
 ]
 
