--- a/bench/policy.py
+++ b/bench/policy.py
@@ -70,8 +70,8 @@
             node = self.nodes.get(folded.holder)
             if node:
                 writer = node.writers[0]
-                ticket = writer.take_verdict(folded.verdict)
-                node.treasury.take_ticket(node.treasury.epoch, ticket)
+                submission = writer.apply_verdict(folded.verdict)
+                node.treasury.take_ticket(node.treasury.epoch, submission)
 
     async def run(self) -> None:
         """Fold what nodes have written, every `LOG_S`."""
--- a/railtide/budgets/tests/test_treasury.py
+++ b/railtide/budgets/tests/test_treasury.py
@@ -45,8 +45,8 @@
             code = Code.OK if record.amount <= self.budget else Code.BUDGET_EXHAUSTED
             self.budget -= record.amount if code == Code.OK else 0
         verdict = Verdict(entry.seq, code, 0, available=self.budget, fenced=fenced)
-        ticket = epoch.writer.take_verdict(verdict)
-        self.treasury.take_ticket(epoch, ticket)
+        submission = epoch.writer.apply_verdict(verdict)
+        self.treasury.take_ticket(epoch, submission)
 
     async def run(self) -> None:
         while True:
--- a/railtide/budgets/treasury.py
+++ b/railtide/budgets/treasury.py
@@ -28,7 +28,7 @@
 from railtide.budgets.source import BudgetSource, Reserved
 from railtide.configuration.models import AccountSettings
 from railtide.journal.entries import Code
-from railtide.journal.writer import Ticket, Writer
+from railtide.journal.writer import Submission, Writer
 from railtide.membership.messages import Close
 
 __all__ = ["Epoch", "Reservation", "Treasury"]
@@ -243,12 +243,12 @@
             with trio.move_on_at(until):
                 await known.changed.wait()
             return known.left is not None and known.left < need
-        ticket = self._ask(account, settings, need)
-        if ticket is None:
+        submission = self._ask(account, settings, need)
+        if submission is None:
             with trio.move_on_at(until):
                 await trio.sleep(RETRY_GRANT_S)
             return True
-        verdict = await ticket.wait_at_most(until - trio.current_time())
+        verdict = await submission.wait_at_most(until - trio.current_time())
         if verdict is None or verdict.code != Code.BUDGET_EXHAUSTED:
             return False
         if verdict.available < need:
@@ -266,7 +266,7 @@
         if self.epoch.hand(account).available < level and not known.asking and not dry:
             self._ask(account, settings, 0)
 
-    def _ask(self, account: str, settings: AccountSettings, need: int) -> Ticket | None:
+    def _ask(self, account: str, settings: AccountSettings, need: int) -> Submission | None:
         known = self._account(account)
         demand = Demand(need, known.rate, known.left, self._holders(settings))
         amount = self._sizing(settings).size(demand)
@@ -276,15 +276,15 @@
         record = Grant(account, amount, exposure_of(amount, settings.exposure_percent))
         return self.epoch.writer.submit(record)
 
-    def take_ticket(self, epoch: Epoch, ticket: Ticket) -> None:
+    def take_ticket(self, epoch: Epoch, submission: Submission) -> None:
         """Learn from a grant's verdict."""
-        record = ticket.record
+        record = submission.record
         if not isinstance(record, Grant):
             return
         known = self._account(record.account)
         known.asking = False
-        known.left = ticket.verdict.available
-        if ticket.verdict.ok:
+        known.left = submission.verdict.available
+        if submission.verdict.ok:
             self.grants += 1
             hand = epoch.hand(record.account)
             hand.granted += record.amount
--- a/railtide/journal/tests/test_writer.py
+++ b/railtide/journal/tests/test_writer.py
@@ -11,34 +11,34 @@
     async def test_entry_stays_pending_until_its_verdict(self) -> None:
         sent = []
         writer = Writer("a", lambda entry, trace: sent.append(entry))
-        tickets = [writer.submit(Heartbeat()) for _ in range(2)]
+        submissions = [writer.submit(Heartbeat()) for _ in range(2)]
         assert writer.pending() == sent
-        writer.take_verdict(Verdict(1, Code.OK, 0))
+        writer.apply_verdict(Verdict(1, Code.OK, 0))
         assert [entry.seq for entry in writer.pending()] == [2]
-        assert tickets[0].durable and not tickets[1].durable
+        assert submissions[0].durable and not submissions[1].durable
 
     async def test_acknowledges_up_to_the_first_pending(self) -> None:
         writer = Writer("a", lambda entry, trace: None)
         for _ in range(3):
             writer.submit(Heartbeat())
-        writer.take_verdict(Verdict(2, Code.OK, 0))
+        writer.apply_verdict(Verdict(2, Code.OK, 0))
         writer.submit(Heartbeat())
         assert writer.pending()[-1].acked == 0
-        writer.take_verdict(Verdict(1, Code.OK, 0))
+        writer.apply_verdict(Verdict(1, Code.OK, 0))
         writer.submit(Heartbeat())
         assert writer.pending()[-1].acked == 2
 
     async def test_second_verdict_is_ignored(self) -> None:
         writer = Writer("a", lambda entry, trace: None)
         writer.submit(Heartbeat())
-        assert writer.take_verdict(Verdict(1, Code.OK, 0))
-        assert writer.take_verdict(Verdict(1, Code.OK, 0)) is None
+        assert writer.apply_verdict(Verdict(1, Code.OK, 0))
+        assert writer.apply_verdict(Verdict(1, Code.OK, 0)) is None
         assert writer.pending_bytes == 0
 
     async def test_fenced_verdict_is_no_proof(self, autojump_clock) -> None:
         writer = Writer("a", lambda entry, trace: None)
         await trio.sleep(1)
         writer.submit(Heartbeat())
-        writer.take_verdict(Verdict(1, Code.OK, 0, fenced=True))
+        writer.apply_verdict(Verdict(1, Code.OK, 0, fenced=True))
         assert writer.fenced
-        assert writer.proved_at == 0.0
+        assert writer.unfenced_at == 0.0
--- a/railtide/journal/writer.py
+++ b/railtide/journal/writer.py
@@ -6,17 +6,17 @@
 
 from railtide.journal.entries import Entry, Record, Verdict, make_entry
 
-__all__ = ["Ticket", "Writer"]
+__all__ = ["Submission", "Writer"]
 
 
-class Ticket:
+class Submission:
     """One entry on its way; `verdict` is set once the fold has decided."""
 
     def __init__(self, record: Record) -> None:
         self.record = record
         self.verdict: Verdict | None = None
         self.submitted_at = trio.current_time()
-        self._decided = trio.Event()
+        self._resolved = trio.Event()
         self._callbacks: list[Callable[[Verdict], None]] = []
 
     @property
@@ -24,14 +24,14 @@
         """True once the entry is in the log and folded."""
         return self.verdict is not None
 
-    def decide(self, verdict: Verdict) -> None:
+    def resolve(self, verdict: Verdict) -> None:
         """Record the verdict and wake those who wait."""
         self.verdict = verdict
-        self._decided.set()
+        self._resolved.set()
         for callback in self._callbacks:
             callback(verdict)
 
-    def when_decided(self, callback: Callable[[Verdict], None]) -> None:
+    def add_done_callback(self, callback: Callable[[Verdict], None]) -> None:
         """Call back with the verdict; it must not block."""
         if self.verdict:
             callback(self.verdict)
@@ -40,13 +40,13 @@
 
     async def wait(self) -> Verdict:
         """Return the verdict, however long it takes."""
-        await self._decided.wait()
+        await self._resolved.wait()
         return self.verdict
 
     async def wait_at_most(self, seconds: float) -> Verdict | None:
         """Return the verdict, or None if it is not there within `seconds`."""
         with trio.move_on_after(seconds):
-            await self._decided.wait()
+            await self._resolved.wait()
         return self.verdict
 
 
@@ -79,38 +79,38 @@
         self.fenced = False
         self.closed = False
         self.pending_bytes = 0
-        self.proved_at = 0.0
+        self.unfenced_at = 0.0
         self._on_entry = on_entry
         self._last_seq = 0
         self._acked = 0
         self._entries_by_seq: dict[int, Entry] = {}
-        self._tickets_by_seq: dict[int, Ticket] = {}
+        self._submissions_by_seq: dict[int, Submission] = {}
 
-    def submit(self, record: Record, traceparent: str = "") -> Ticket:
-        """Put a record after all earlier ones and return its ticket."""
+    def submit(self, record: Record, traceparent: str = "") -> Submission:
+        """Put a record after all earlier ones and return its submission."""
         self._last_seq += 1
         entry = make_entry(self.holder, self._last_seq, self._acked, record)
-        ticket = Ticket(record)
+        submission = Submission(record)
         self._entries_by_seq[entry.seq] = entry
         self.pending_bytes += len(bytes(entry.record))
-        self._tickets_by_seq[entry.seq] = ticket
+        self._submissions_by_seq[entry.seq] = submission
         self._on_entry(entry, traceparent)
-        return ticket
+        return submission
 
     def pending(self) -> list[Entry]:
         """Return the entries without a verdict, in order."""
         return list(self._entries_by_seq.values())
 
-    def take_verdict(self, verdict: Verdict) -> Ticket | None:
-        """Settle the ticket of a verdict; None for one already settled."""
-        ticket = self._tickets_by_seq.pop(verdict.seq, None)
-        if ticket is None:
+    def apply_verdict(self, verdict: Verdict) -> Submission | None:
+        """Resolve the submission of a verdict; None for one already settled."""
+        submission = self._submissions_by_seq.pop(verdict.seq, None)
+        if submission is None:
             return None
         entry = self._entries_by_seq.pop(verdict.seq)
         self.pending_bytes -= len(bytes(entry.record))
         self._acked = next(iter(self._entries_by_seq), self._last_seq + 1) - 1
         self.fenced = self.fenced or verdict.fenced
         if not verdict.fenced:
-            self.proved_at = max(self.proved_at, ticket.submitted_at)
-        ticket.decide(verdict)
-        return ticket
+            self.unfenced_at = max(self.unfenced_at, submission.submitted_at)
+        submission.resolve(verdict)
+        return submission
--- a/railtide/keeper/keeper.py
+++ b/railtide/keeper/keeper.py
@@ -255,7 +255,7 @@
             subscriber = self._subscriber_by_holder.get(holder)
             for verdict in known.by_seq.values():
                 if self._writer and holder == self._writer.holder:
-                    self._writer.take_verdict(verdict)
+                    self._writer.apply_verdict(verdict)
                 if subscriber:
                     subscriber.deliver(VerdictMessage(holder, verdict))
         for subscriber in self._subscribers.values():
@@ -269,7 +269,7 @@
             if subscriber:
                 subscriber.deliver(VerdictMessage(entry.holder, verdict))
             elif self._writer and entry.holder == self._writer.holder:
-                self._writer.take_verdict(verdict)
+                self._writer.apply_verdict(verdict)
 
     def _on_folded(self, taken: list[Folded]) -> None:
         for folded in taken:
@@ -280,7 +280,7 @@
 
     def _tell_writer(self, folded: Folded) -> None:
         if self._writer and folded.holder == self._writer.holder:
-            self._writer.take_verdict(folded.verdict)
+            self._writer.apply_verdict(folded.verdict)
         subscriber = self._subscriber_by_holder.get(folded.holder)
         if subscriber:
             subscriber.deliver(VerdictMessage(folded.holder, folded.verdict))
--- a/railtide/operators/session.py
+++ b/railtide/operators/session.py
@@ -97,11 +97,13 @@
         for folded in taken:
             self.appender.passed(folded.holder, folded.verdict.seq)
             if self._writer and folded.holder == self._writer.holder:
-                self._writer.take_verdict(folded.verdict)
+                self._writer.apply_verdict(folded.verdict)
 
     def _on_refused(self, entries: list[Entry]) -> None:
         for entry in entries:
-            self._writer.take_verdict(Verdict(entry.seq, "refused", self.state.offset, fenced=True))
+            self._writer.apply_verdict(
+                Verdict(entry.seq, "refused", self.state.offset, fenced=True)
+            )
 
 
 @asynccontextmanager
--- a/railtide/requests/cover.py
+++ b/railtide/requests/cover.py
@@ -18,7 +18,7 @@
 from railtide.budgets.errors import ExposureReached
 from railtide.budgets.treasury import Reservation
 from railtide.journal.entries import Code, Verdict
-from railtide.journal.writer import Ticket
+from railtide.journal.writer import Submission
 from railtide.requests.call import Call
 from railtide.requests.errors import (
     AnswerGone,
@@ -93,7 +93,7 @@
         """Return when output may begin."""
 
     @abstractmethod
-    async def hold_end(self, bill: Ticket | None) -> None:
+    async def hold_end(self, bill: Submission | None) -> None:
         """Return when the answer may be ended."""
 
     @abstractmethod
@@ -101,7 +101,7 @@
         """Return the units to count as used by tries whose answers never came."""
 
     @abstractmethod
-    def bill(self, record: Bill) -> Ticket | None:
+    def bill(self, record: Bill) -> Submission | None:
         """Write the bill; None where bills are written in sums."""
 
 
@@ -120,7 +120,7 @@
         self._reservation = reservation
         self._services = services
         self._options = services.options
-        self._intent: Ticket | None = None
+        self._intent: Submission | None = None
 
     @property
     def open(self) -> bool:
@@ -170,8 +170,8 @@
 
     def _may_be_settled(self) -> bool:
         """Return whether others may have fenced this holder and settled the request."""
-        proved_at = self._reservation.epoch.writer.proved_at
-        age = trio.current_time() - max(proved_at, self._intent.submitted_at)
+        unfenced_at = self._reservation.epoch.writer.unfenced_at
+        age = trio.current_time() - max(unfenced_at, self._intent.submitted_at)
         return self._intent.durable and age > self._options.dispatch_window_s
 
     async def _claim(self) -> None:
@@ -190,13 +190,13 @@
                 "the log is down and the account's exposure is reached", retry_after=RETRY_SOON_S
             )
         if self._intent:
-            ticket = self._submit(Extend(self._call.request_id, amount, exposed), amount)
+            submission = self._submit(Extend(self._call.request_id, amount, exposed), amount)
         else:
-            ticket = self._submit_intent(exposed)
+            submission = self._submit_intent(exposed)
         if not exposed:
-            self._check(await self._wait(ticket))
+            self._check(await self._wait(submission))
 
-    def _submit_intent(self, exposed: bool) -> Ticket:
+    def _submit_intent(self, exposed: bool) -> Submission:
         call = self._call
         record = Intent(
             call.request_id,
@@ -211,11 +211,11 @@
         self._intent = self._submit(record, call.reserve)
         return self._intent
 
-    def _submit(self, record: Intent | Extend, amount: int) -> Ticket:
+    def _submit(self, record: Intent | Extend, amount: int) -> Submission:
         writer = self._reservation.epoch.writer
-        ticket = writer.submit(record, traceparent_of(trace.get_current_span()))
-        ticket.when_decided(lambda verdict: self._on_decided(verdict, record, amount))
-        return ticket
+        submission = writer.submit(record, traceparent_of(trace.get_current_span()))
+        submission.add_done_callback(lambda verdict: self._on_decided(verdict, record, amount))
+        return submission
 
     def _on_decided(self, verdict: Verdict, record: Intent | Extend, amount: int) -> None:
         self._reservation.cover(amount)
@@ -225,17 +225,17 @@
         if record.exposed and verdict.code == Code.BUDGET_EXHAUSTED:
             self._services.counters.add("sent_intents_uncovered")
 
-    async def _wait(self, ticket: Ticket) -> Verdict:
+    async def _wait(self, submission: Submission) -> Verdict:
         """Return the verdict; give up when the log goes down or the time to send has passed."""
-        until = ticket.submitted_at + self._options.dispatch_window_s
-        while ticket.verdict is None:
-            await ticket.wait_at_most(LOG_CHECK_S)
+        until = submission.submitted_at + self._options.dispatch_window_s
+        while submission.verdict is None:
+            await submission.wait_at_most(LOG_CHECK_S)
             late = trio.current_time() > until
-            if ticket.verdict is None and (late or not self._services.log_reachable()):
+            if submission.verdict is None and (late or not self._services.log_reachable()):
                 raise ClaimUnavailable("the log did not answer", retry_after=RETRY_SOON_S)
         if trio.current_time() > until:
             raise ClaimUnavailable("the log answered too late", retry_after=RETRY_SOON_S)
-        return ticket.verdict
+        return submission.verdict
 
     @staticmethod
     def _check(verdict: Verdict) -> None:
@@ -248,7 +248,7 @@
         """Return a whole reserve for each try; see `Cover.waste_of`."""
         return self._call.reserve * lost_tries
 
-    def bill(self, record: Bill) -> Ticket:
+    def bill(self, record: Bill) -> Submission:
         """Write the bill after the intent; see `Cover.bill`."""
         return self._reservation.epoch.writer.submit(record)
 
@@ -258,7 +258,7 @@
         """Hold output until the intent is durable, as long as the log is reachable."""
         await self._hold(self._intent)
 
-    async def hold_end(self, bill: Ticket) -> None:
+    async def hold_end(self, bill: Submission) -> None:
         """Hold the end of the answer until the bill is durable, as long as the log is reachable.
 
         After a pause the log is out of reach for a moment, while others may have settled the
@@ -274,14 +274,14 @@
         if verdict and verdict.code == Code.NOT_OPEN and verdict.outcome == Outcome.NOT_RUN:
             raise HolderFenced("another router settled this request as not run")
 
-    async def _hold(self, ticket: Ticket) -> None:
+    async def _hold(self, submission: Submission) -> None:
         until = trio.current_time() + self._options.commit_wait_s
-        while not ticket.durable and (self._services.log_reachable() or self._may_be_settled()):
+        while not submission.durable and (self._services.log_reachable() or self._may_be_settled()):
             left = until - trio.current_time()
             if left <= 0:
                 self._services.counters.add("commit_waits_ended")
                 return
-            await ticket.wait_at_most(left)
+            await submission.wait_at_most(left)
 
 
 def log_cover(call: Call, reservation: Reservation, services: Services) -> Cover:
--- a/railtide/requests/dispatcher.py
+++ b/railtide/requests/dispatcher.py
@@ -89,7 +89,7 @@
         if not self._services.log_reachable():
             return
         record = Lookup(call.account, call.key, call.digest)
-        ticket = self._treasury.epoch.writer.submit(record)
-        verdict = await ticket.wait_at_most(self._services.options.commit_wait_s)
+        submission = self._treasury.epoch.writer.submit(record)
+        verdict = await submission.wait_at_most(self._services.options.commit_wait_s)
         if verdict is not None and not verdict.ok and not verdict.fenced:
             raise KnownAnswer(answer_of_verdict(verdict))
--- a/railtide/requests/execution.py
+++ b/railtide/requests/execution.py
@@ -13,7 +13,7 @@
 from railtide.containment.errors import ContentHeld
 from railtide.errors import RailtideError, Run
 from railtide.journal.entries import Code, Verdict
-from railtide.journal.writer import Ticket
+from railtide.journal.writer import Submission
 from railtide.lanes.scheduler import PoolScheduler, Slot, WaitingRequest
 from railtide.membership.instances import Instance
 from railtide.requests.call import AnswerSink, Call
@@ -94,7 +94,7 @@
         )
         self._slot: Slot | None = None
         self._settled = False
-        self._bill: Ticket | None = None
+        self._bill: Submission | None = None
         self._sent_to: Instance | None = None
         self._lost_tries: list[Instance] = []
         self._sent_at = -math.inf
@@ -136,7 +136,7 @@
         wasted = self._cover.waste_of(len(self._lost_tries))
         self._settle(relayed.cost, Outcome.DONE, relayed.answer, wasted)
         if self._bill:
-            self._bill.when_decided(self._on_bill_decided)
+            self._bill.add_done_callback(self._on_bill_decided)
         try:
             await self._cover.hold_end(self._bill)
         except HolderFenced as err:
--- a/railtide/requests/ledger_cover.py
+++ b/railtide/requests/ledger_cover.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from railtide.budgets.source import Reserved
-from railtide.journal.writer import Ticket
+from railtide.journal.writer import Submission
 from railtide.requests.call import Call
 from railtide.requests.cover import Cover
 from railtide.requests.messages import Bill
@@ -45,7 +45,7 @@
     async def hold_first_byte(self) -> None:
         """Return at once."""
 
-    async def hold_end(self, bill: Ticket | None) -> None:
+    async def hold_end(self, bill: Submission | None) -> None:
         """Return at once."""
 
     def waste_of(self, lost_tries: int) -> int:
--- a/railtide/requests/tests/test_cover.py
+++ b/railtide/requests/tests/test_cover.py
@@ -72,7 +72,7 @@
 
     def decide(self, code: str = Code.OK, **more: object) -> None:
         seq = self.writer.pending()[0].seq
-        self.writer.take_verdict(Verdict(seq, code, 0, **more))
+        self.writer.apply_verdict(Verdict(seq, code, 0, **more))
 
 
 class TestDeclare:
--- a/railtide/requests/tests/test_recovery.py
+++ b/railtide/requests/tests/test_recovery.py
@@ -47,7 +47,7 @@
         trio.lowlevel.spawn_system_task(self._decide, entry.seq)
 
     async def _decide(self, seq: int) -> None:
-        self.writer.take_verdict(Verdict(seq, Code.OK, 0, fenced=self.fenced))
+        self.writer.apply_verdict(Verdict(seq, Code.OK, 0, fenced=self.fenced))
 
     async def past_run(self, upstream: Instance, request_id: str) -> PastRun:
         words = self.words[upstream.name]
--- a/railtide/router/router.py
+++ b/railtide/router/router.py
@@ -286,9 +286,9 @@
         epoch = self._epoch_by_holder.get(message.holder)
         if epoch is None:
             return
-        ticket = epoch.writer.take_verdict(message.verdict)
-        if ticket:
-            self.treasury.take_ticket(epoch, ticket)
+        submission = epoch.writer.apply_verdict(message.verdict)
+        if submission:
+            self.treasury.take_ticket(epoch, submission)
         if epoch.writer.closed and not epoch.writer.pending():
             del self._epoch_by_holder[message.holder]
 
--- a/tests/matrix/checks.py
+++ b/tests/matrix/checks.py
@@ -200,10 +200,10 @@
 
 def check_configuration(world: World) -> None:
     assert world.reverts == []
-    for ticket in world.publications:
-        assert ticket.verdict is not None and ticket.verdict.ok
-    for tickets in world.races:
-        assert sum(1 for t in tickets if t.verdict and t.verdict.ok) == 1
+    for submission in world.publications:
+        assert submission.verdict is not None and submission.verdict.ok
+    for submissions in world.races:
+        assert sum(1 for t in submissions if t.verdict and t.verdict.ok) == 1
     for name, process in world.routers.items():
         if not process.gone.is_set():
             assert process.router.directory.version("template", "base") == 2, name
--- a/tests/matrix/scenario.py
+++ b/tests/matrix/scenario.py
@@ -267,13 +267,13 @@
 
 
 async def operators_racing(world: World) -> None:
-    tickets = []
+    submissions = []
     name = f"race{len(world.races)}"
     for keeper, weight in (("i1", 5), ("i2", 6), ("i3", 7)):
         operator = Operator(world, keeper)
         body = TEMPLATE | {"weight": weight}
-        tickets += [operator.publish("template", name, body, 0) for _ in range(2)]
-    world.races.append(tickets)
+        submissions += [operator.publish("template", name, body, 0) for _ in range(2)]
+    world.races.append(submissions)
 
 
 async def caller_retries(world: World) -> None:
--- a/tests/matrix/world.py
+++ b/tests/matrix/world.py
@@ -15,7 +15,7 @@
 from railtide.errors import RailtideError
 from railtide.journal.client import LogRecord
 from railtide.journal.entries import Entry, Record
-from railtide.journal.writer import Ticket, Writer
+from railtide.journal.writer import Submission, Writer
 from railtide.keeper.keeper import Keeper, Subscriber
 from railtide.keeper.options import KeeperOptions
 from railtide.keeper.relay import DirectLog, RelayedLog
@@ -167,8 +167,8 @@
         self.killed_routers: set[str] = set()
         self.topped_up = dict(ACCOUNTS)
         self.stranded: dict[str, int] = {}
-        self.publications: list[Ticket] = []
-        self.races: list[list[Ticket]] = []
+        self.publications: list[Submission] = []
+        self.races: list[list[Submission]] = []
         self.left_at: dict[str, float] = {}
         self._rng = Random(7)
         self._lives = 0
@@ -380,7 +380,7 @@
     def __init__(self, world: World, keeper: str) -> None:
         Operator.numbers += 1
         self._keeper = world.keepers[keeper].keeper
-        self.tickets: list[Ticket] = []
+        self.submissions: list[Submission] = []
         self._writer = Writer(f"operator/{keeper}/{Operator.numbers}", self._send)
         self._submit(Open("operator", "", "", Role.OPERATOR, self._keeper.state.stamp))
 
@@ -389,18 +389,18 @@
 
     def deliver(self, message: Message) -> None:
         if isinstance(message, VerdictMessage):
-            self._writer.take_verdict(message.verdict)
+            self._writer.apply_verdict(message.verdict)
 
-    def _submit(self, record: Record) -> Ticket:
-        ticket = self._writer.submit(record)
-        self.tickets.append(ticket)
-        return ticket
+    def _submit(self, record: Record) -> Submission:
+        submission = self._writer.submit(record)
+        self.submissions.append(submission)
+        return submission
 
-    def publish(self, kind: str, name: str, body: dict, base: int = 0) -> Ticket:
+    def publish(self, kind: str, name: str, body: dict, base: int = 0) -> Submission:
         return self._submit(Proposal(kind, name, base, json.dumps(body).encode()))
 
-    def top_up(self, account: str, units: int) -> Ticket:
-        top_up_id = f"{account}-{Operator.numbers}-{len(self.tickets)}"
+    def top_up(self, account: str, units: int) -> Submission:
+        top_up_id = f"{account}-{Operator.numbers}-{len(self.submissions)}"
         return self._submit(TopUp(account, units, top_up_id))
 
 
