--- a/bench/keeper.py
+++ b/bench/keeper.py
@@ -13,7 +13,7 @@
 from railtide.journal.entries import Entry, Record, batch_from_bytes, batch_to_bytes, make_entry
 from railtide.journal.fold import fold
 from railtide.journal.state import State
-from railtide.membership.messages import Open
+from railtide.membership.messages import OpenHolder
 from railtide.requests.messages import Bill, Intent
 
 SIZES = (1_000, 10_000, 100_000)
@@ -48,14 +48,14 @@
 def set_up(state: State, budgets: int) -> list[Sequence]:
     """Fill a state with budgets, each held by `HOLDERS` holders; return the holders."""
     writer = Sequence("operator/x/1")
-    entries = [writer.entry(Open("operator", "", "", "operator", 0))]
+    entries = [writer.entry(OpenHolder("operator", "", "", "operator", 0))]
     for index in range(budgets):
         entries.append(writer.entry(Proposal("account", f"acc-{index:06d}", 0, b"{}")))
         entries.append(writer.entry(TopUp(f"acc-{index:06d}", 10**9, f"t-{index}")))
     fold_all(state, entries)
     holders = [Sequence(f"i-{n:04d}/router/5f3c9a0b1c2d/1") for n in range(HOLDERS)]
     for holder in holders:
-        grants = [holder.entry(Open(holder.holder[:6], "a", "10.0.0.1:1", "router", 0))]
+        grants = [holder.entry(OpenHolder(holder.holder[:6], "a", "10.0.0.1:1", "router", 0))]
         grants += [
             holder.entry(Grant(f"acc-{index:06d}", 10**6, 10**5)) for index in range(budgets)
         ]
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -20,11 +20,11 @@
 from railtide.budgets.treasury import Epoch, Treasury
 from railtide.configuration.messages import Proposal
 from railtide.configuration.models import AccountSettings
-from railtide.journal.entries import Code, Entry
+from railtide.journal.entries import Entry, VerdictCode
 from railtide.journal.fold import fold
 from railtide.journal.state import State
 from railtide.journal.writer import Writer
-from railtide.membership.messages import Open
+from railtide.membership.messages import OpenHolder
 from railtide.requests.messages import Bill, Intent
 
 ROUTERS = 4
@@ -54,7 +54,7 @@
         self.state = State()
         self.nodes: dict[str, Node] = {}
         self._operator = Writer("operator", lambda entry, trace: self._fold([entry]))
-        self._operator.submit(Open("operator", "", "", "operator", 0))
+        self._operator.submit(OpenHolder("operator", "", "", "operator", 0))
         self._operator.submit(Proposal("account", ACCOUNT, 0, b"{}"))
 
     def top_up(self, units: int, name: str) -> None:
@@ -63,7 +63,7 @@
 
     def _fold(self, entries: list[Entry]) -> None:
         for folded in fold(self.state, self.state.offset + 1, 1, entries):
-            if folded.verdict.code == Code.BUDGET_EXHAUSTED:
+            if folded.verdict.code == VerdictCode.BUDGET_EXHAUSTED:
                 for node in self.nodes.values():
                     if node.reachable:
                         node.treasury.give_back(ACCOUNT)
@@ -88,7 +88,7 @@
         def open_epoch() -> Epoch:
             writer = Writer(name, lambda entry, trace: None)
             node.writers.append(writer)
-            writer.submit(Open(name, "", "", "router", 0))
+            writer.submit(OpenHolder(name, "", "", "router", 0))
             return Epoch(writer)
 
         policy = sizing()
--- a/railtide/budgets/tests/test_treasury.py
+++ b/railtide/budgets/tests/test_treasury.py
@@ -7,9 +7,9 @@
 from railtide.budgets.messages import Grant, Return
 from railtide.budgets.treasury import Epoch, Treasury
 from railtide.configuration.models import AccountSettings
-from railtide.journal.entries import Code, Entry, Verdict, record_of
+from railtide.journal.entries import Entry, Verdict, VerdictCode, decode_record
 from railtide.journal.writer import Writer
-from railtide.membership.messages import Close, Heartbeat
+from railtide.membership.messages import CloseHolder, Heartbeat
 
 SETTINGS = AccountSettings(grant_min=100, grant_horizon_s=1, exposure_percent=50, budget_wait_s=0.5)
 
@@ -31,7 +31,7 @@
         return epoch
 
     def _on_entry(self, entry: Entry, trace: str) -> None:
-        self.records.append(record_of(entry))
+        self.records.append(decode_record(entry))
 
     def decide(self, fenced: bool = False) -> None:
         for epoch in self.epochs:
@@ -39,11 +39,11 @@
                 self._decide(epoch, entry, fenced)
 
     def _decide(self, epoch: Epoch, entry: Entry, fenced: bool) -> None:
-        record = record_of(entry)
-        code = Code.OK
+        record = decode_record(entry)
+        code = VerdictCode.OK
         if isinstance(record, Grant):
-            code = Code.OK if record.amount <= self.budget else Code.BUDGET_EXHAUSTED
-            self.budget -= record.amount if code == Code.OK else 0
+            code = VerdictCode.OK if record.amount <= self.budget else VerdictCode.BUDGET_EXHAUSTED
+            self.budget -= record.amount if code == VerdictCode.OK else 0
         verdict = Verdict(entry.seq, code, 0, available=self.budget, fenced=fenced)
         submission = epoch.writer.apply_verdict(verdict)
         self.treasury.take_ticket(epoch, submission)
@@ -161,10 +161,10 @@
         book.decide(fenced=True)
         await trio.sleep(2)
         assert len(book.epochs) == 2
-        assert Close() not in book.records
+        assert CloseHolder() not in book.records
         held[0].settle(10)
         await trio.sleep(2)
-        assert book.records[-1] == Close()
+        assert book.records[-1] == CloseHolder()
 
     async def test_demand_returns_what_lies_idle(self, autojump_clock, nursery_scope) -> None:
         book = Book(1000)
--- a/railtide/budgets/treasury.py
+++ b/railtide/budgets/treasury.py
@@ -27,9 +27,9 @@
 from railtide.budgets.sizing import AdaptiveSizing, Demand, GrantSizing, exposure_of, low_water
 from railtide.budgets.source import BudgetSource, Reserved
 from railtide.configuration.models import AccountSettings
-from railtide.journal.entries import Code
+from railtide.journal.entries import VerdictCode
 from railtide.journal.writer import Submission, Writer
-from railtide.membership.messages import Close
+from railtide.membership.messages import CloseHolder
 
 __all__ = ["Epoch", "Reservation", "Treasury"]
 
@@ -132,7 +132,7 @@
     Parameters
     ----------
     open_epoch : callable
-        Returns a new epoch whose writer has submitted its `Open`.
+        Returns a new epoch whose writer has submitted its `OpenHolder`.
     log_reachable : callable
         Whether entries reach the log now.
     holders : callable
@@ -249,7 +249,7 @@
                 await trio.sleep(RETRY_GRANT_S)
             return True
         verdict = await submission.wait_at_most(until - trio.current_time())
-        if verdict is None or verdict.code != Code.BUDGET_EXHAUSTED:
+        if verdict is None or verdict.code != VerdictCode.BUDGET_EXHAUSTED:
             return False
         if verdict.available < need:
             with trio.move_on_at(until):
@@ -359,7 +359,7 @@
                 self.ended.remove(epoch)
             else:
                 writer.closed = True
-                writer.submit(Close())
+                writer.submit(CloseHolder())
 
     # -- rates --------------------------------------------------------------------------------
 
--- a/railtide/journal/checkpoint.py
+++ b/railtide/journal/checkpoint.py
@@ -11,11 +11,11 @@
 from railtide.journal.state import State
 
 __all__ = [
+    "CheckpointPart",
     "CheckpointReader",
     "PART_BYTES",
-    "Part",
+    "checkpoint_parts",
     "latest_checkpoint",
-    "parts_of",
     "state_from_bytes",
     "state_to_bytes",
     "write_checkpoint",
@@ -25,7 +25,7 @@
 STREAM_SUFFIX = "-checkpoints"
 
 
-class Part(msgspec.Struct, frozen=True, array_like=True):
+class CheckpointPart(msgspec.Struct, frozen=True, array_like=True):
     """One part of a checkpoint of the state at `offset`."""
 
     offset: int
@@ -54,13 +54,13 @@
     return _state_decoder.decode(data)
 
 
-def parts_of(state: State, writer: str) -> list[bytes]:
+def checkpoint_parts(state: State, writer: str) -> list[bytes]:
     """Return the encoded parts of a checkpoint."""
     data = state_to_bytes(state)
     chunks = [data[at : at + PART_BYTES] for at in range(0, len(data), PART_BYTES)]
     total = len(chunks)
     return [
-        msgspec.msgpack.encode(Part(state.offset, writer, index, total, chunk))
+        msgspec.msgpack.encode(CheckpointPart(state.offset, writer, index, total, chunk))
         for index, chunk in enumerate(chunks)
     ]
 
@@ -136,7 +136,7 @@
 
     def _take(self, record: LogRecord) -> bytes | None:
         """Take a part; return the checkpoint that it makes whole."""
-        part = msgspec.msgpack.decode(record.data, type=Part)
+        part = msgspec.msgpack.decode(record.data, type=CheckpointPart)
         parts = self._parts_by_writer.setdefault((part.writer, part.offset), {})
         parts[part.index] = part.data
         if len(parts) < part.total:
--- a/railtide/journal/entries.py
+++ b/railtide/journal/entries.py
@@ -10,18 +10,18 @@
 from railtide.budgets.messages import Fence, Grant, Release, Return, TopUp, Waste
 from railtide.configuration.messages import Proposal
 from railtide.journal.errors import UnreadableBatch
-from railtide.membership.messages import Checkpointed, Close, Heartbeat, Leaving, Open
+from railtide.membership.messages import Checkpointed, CloseHolder, Heartbeat, Leaving, OpenHolder
 from railtide.requests.messages import Adopt, Answer, Bill, Extend, Intent, Lookup
 
 __all__ = [
-    "Code",
     "Entry",
     "Record",
     "Verdict",
+    "VerdictCode",
     "batch_from_bytes",
     "batch_to_bytes",
+    "decode_record",
     "make_entry",
-    "record_of",
 ]
 
 Record = (
@@ -37,15 +37,15 @@
     | Extend
     | Waste
     | Proposal
-    | Open
+    | OpenHolder
     | Heartbeat
     | Leaving
-    | Close
+    | CloseHolder
     | Checkpointed
 )
 
 
-class Code:
+class VerdictCode:
     """What the fold says of an entry."""
 
     OK = "ok"
@@ -102,7 +102,7 @@
     @property
     def ok(self) -> bool:
         """True if the entry took effect."""
-        return self.code == Code.OK
+        return self.code == VerdictCode.OK
 
 
 _encoder = msgspec.msgpack.Encoder()
@@ -115,7 +115,7 @@
     return Entry(holder, seq, acked, msgspec.Raw(_encoder.encode(record)))
 
 
-def record_of(entry: Entry) -> Record | None:
+def decode_record(entry: Entry) -> Record | None:
     """Return the decoded record, or None for a kind or shape that this version does not know.
 
     Examples
--- a/railtide/journal/fold.py
+++ b/railtide/journal/fold.py
@@ -8,9 +8,9 @@
 from railtide.budgets.messages import Fence, Grant, Release, Return, TopUp, Waste
 from railtide.configuration.messages import Kind, Proposal
 from railtide.configuration.objects import propose, version_of
-from railtide.journal.entries import Code, Entry, Record, Verdict, record_of
+from railtide.journal.entries import Entry, Record, Verdict, VerdictCode, decode_record
 from railtide.journal.state import HolderState, HolderStatus, State
-from railtide.membership.messages import Checkpointed, Close, Heartbeat, Leaving, Open
+from railtide.membership.messages import Checkpointed, CloseHolder, Heartbeat, Leaving, OpenHolder
 from railtide.requests.messages import Adopt, Bill, Extend, Intent, Lookup, Outcome
 from railtide.requests.registry import (
     KeyState,
@@ -26,7 +26,7 @@
     start,
 )
 
-__all__ = ["KEY_RETENTION_MS", "OPEN_MAX_AGE_MS", "Folded", "fold"]
+__all__ = ["KEY_RETENTION_MS", "OPEN_MAX_AGE_MS", "FoldedEntry", "fold"]
 
 OPEN_MAX_AGE_MS = 600_000
 KEY_RETENTION_MS = 24 * 3_600_000
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True)
-class Folded:
+class FoldedEntry:
     """An entry that the fold took in its turn, with its verdict."""
 
     holder: str
@@ -42,7 +42,7 @@
     verdict: Verdict
 
 
-def fold(state: State, offset: int, stamp: int, entries: list[Entry]) -> list[Folded]:
+def fold(state: State, offset: int, stamp: int, entries: list[Entry]) -> list[FoldedEntry]:
     """Apply the entries of one log record to the state.
 
     Parameters
@@ -71,8 +71,8 @@
     return taken
 
 
-def _fold_entry(state: State, entry: Entry) -> Folded | None:
-    record = record_of(entry)
+def _fold_entry(state: State, entry: Entry) -> FoldedEntry | None:
+    record = decode_record(entry)
     holder = state.by_holder.get(entry.holder)
     if holder is None:
         holder = _admit(state, entry, record)
@@ -87,12 +87,12 @@
     holder.last_seq = entry.seq
     verdict = _judge(state, entry, holder, record)
     _remember_verdict(holder, entry, verdict)
-    return Folded(entry.holder, record, verdict)
+    return FoldedEntry(entry.holder, record, verdict)
 
 
 def _admit(state: State, entry: Entry, record: Record | None) -> HolderState | None:
-    """Return a new holder for a fresh `Open`, None for anything else."""
-    if not isinstance(record, Open) or entry.seq != 1:
+    """Return a new holder for a fresh `OpenHolder`, None for anything else."""
+    if not isinstance(record, OpenHolder) or entry.seq != 1:
         state.gaps += 1
         return None
     if state.stamp - max(record.since, state.began) > OPEN_MAX_AGE_MS:
@@ -107,7 +107,7 @@
 
 
 def _forget_closed(state: State) -> None:
-    """Drop closed holders whose `Open` would be refused by its age."""
+    """Drop closed holders whose `OpenHolder` would be refused by its age."""
     oldest = state.stamp - OPEN_MAX_AGE_MS
     gone = [
         name
@@ -127,7 +127,7 @@
 def _judge(state: State, entry: Entry, holder: HolderState, record: Record | None) -> Verdict:
     if record is None:
         state.skipped += 1
-        return Verdict(entry.seq, Code.SKIPPED, state.offset)
+        return Verdict(entry.seq, VerdictCode.SKIPPED, state.offset)
     return _RULES[type(record)](state, entry, holder, record)
 
 
@@ -140,75 +140,75 @@
     return holder.status in (HolderStatus.FENCED, HolderStatus.CLOSED)
 
 
-def _on_open(state: State, entry: Entry, holder: HolderState, record: Open) -> Verdict:
-    code = Code.OK if entry.seq == 1 else Code.REFUSED
+def _on_open(state: State, entry: Entry, holder: HolderState, record: OpenHolder) -> Verdict:
+    code = VerdictCode.OK if entry.seq == 1 else VerdictCode.REFUSED
     return _say(state, entry, holder, code)
 
 
 def _on_heartbeat(state: State, entry: Entry, holder: HolderState, record: Heartbeat) -> Verdict:
-    return _say(state, entry, holder, Code.OK)
+    return _say(state, entry, holder, VerdictCode.OK)
 
 
 def _on_leaving(state: State, entry: Entry, holder: HolderState, record: Leaving) -> Verdict:
     if holder.status == HolderStatus.OPEN:
         holder.status = HolderStatus.LEAVING
-    return _say(state, entry, holder, Code.OK)
+    return _say(state, entry, holder, VerdictCode.OK)
 
 
-def _on_close(state: State, entry: Entry, holder: HolderState, record: Close) -> Verdict:
+def _on_close(state: State, entry: Entry, holder: HolderState, record: CloseHolder) -> Verdict:
     holder.status = HolderStatus.CLOSED
     for balance in state.by_account.values():
         budgets.close_holding(balance, entry.holder)
-    return _say(state, entry, holder, Code.OK)
+    return _say(state, entry, holder, VerdictCode.OK)
 
 
 def _on_top_up(state: State, entry: Entry, holder: HolderState, record: TopUp) -> Verdict:
     if version_of(state.catalog, Kind.ACCOUNT, record.account) == 0:
-        return _say(state, entry, holder, Code.UNKNOWN_ACCOUNT)
+        return _say(state, entry, holder, VerdictCode.UNKNOWN_ACCOUNT)
     balance = state.by_account.setdefault(record.account, Balance())
     if record.top_up_id in balance.top_up_ids:
-        return _say(state, entry, holder, Code.REFUSED)
+        return _say(state, entry, holder, VerdictCode.REFUSED)
     balance.top_up_ids[record.top_up_id] = None
     balance.topped_up += record.amount
-    return _say(state, entry, holder, Code.OK, available=budgets.available(balance))
+    return _say(state, entry, holder, VerdictCode.OK, available=budgets.available(balance))
 
 
 def _on_grant(state: State, entry: Entry, holder: HolderState, record: Grant) -> Verdict:
     balance = state.by_account.get(record.account)
     if balance is None:
-        return _say(state, entry, holder, Code.BUDGET_EXHAUSTED)
+        return _say(state, entry, holder, VerdictCode.BUDGET_EXHAUSTED)
     if _is_ended(holder):
-        return _say(state, entry, holder, Code.FENCED)
+        return _say(state, entry, holder, VerdictCode.FENCED)
     granted = budgets.grant(balance, entry.holder, record.amount, record.exposure)
-    code = Code.OK if granted else Code.BUDGET_EXHAUSTED
+    code = VerdictCode.OK if granted else VerdictCode.BUDGET_EXHAUSTED
     return _say(state, entry, holder, code, available=budgets.available(balance))
 
 
 def _on_return(state: State, entry: Entry, holder: HolderState, record: Return) -> Verdict:
     balance = state.by_account.get(record.account)
     done = balance is not None and budgets.give_back(balance, entry.holder, record.amount)
-    return _say(state, entry, holder, Code.OK if done else Code.REFUSED)
+    return _say(state, entry, holder, VerdictCode.OK if done else VerdictCode.REFUSED)
 
 
 def _on_fence(state: State, entry: Entry, holder: HolderState, record: Fence) -> Verdict:
     target = state.by_holder.get(record.holder)
     alive = target and target.status in (HolderStatus.OPEN, HolderStatus.LEAVING)
     if not alive or target.last_seq != record.seen_seq:
-        return _say(state, entry, holder, Code.REFUSED)
+        return _say(state, entry, holder, VerdictCode.REFUSED)
     target.status = HolderStatus.FENCED
     for balance in state.by_account.values():
         budgets.fence_holding(balance, record.holder)
-    return _say(state, entry, holder, Code.OK)
+    return _say(state, entry, holder, VerdictCode.OK)
 
 
 def _on_release(state: State, entry: Entry, holder: HolderState, record: Release) -> Verdict:
     target = state.by_holder.get(record.holder)
     if not target or target.status != HolderStatus.FENCED:
-        return _say(state, entry, holder, Code.REFUSED)
+        return _say(state, entry, holder, VerdictCode.REFUSED)
     target.status = HolderStatus.CLOSED
     for balance in state.by_account.values():
         budgets.close_holding(balance, record.holder)
-    return _say(state, entry, holder, Code.OK)
+    return _say(state, entry, holder, VerdictCode.OK)
 
 
 def _say_key(
@@ -216,12 +216,12 @@
 ) -> Verdict:
     """Return the verdict for a key that another request has; a wrong digest learns nothing."""
     if known.digest != digest:
-        return _say(state, entry, holder, Code.KEY_MISMATCH)
+        return _say(state, entry, holder, VerdictCode.KEY_MISMATCH)
     return _say(
         state,
         entry,
         holder,
-        Code.KEY_USED if known.outcome else Code.KEY_OPEN,
+        VerdictCode.KEY_USED if known.outcome else VerdictCode.KEY_OPEN,
         request_id=known.request_id,
         outcome=known.outcome or "",
         answer=known.answer,
@@ -232,7 +232,7 @@
     known = find_key(state.registry, record.account, record.key)
     if known:
         return _say_key(state, entry, holder, known, record.digest)
-    return _say(state, entry, holder, Code.OK)
+    return _say(state, entry, holder, VerdictCode.OK)
 
 
 def _on_intent(state: State, entry: Entry, holder: HolderState, record: Intent) -> Verdict:
@@ -240,14 +240,14 @@
     if known and not record.exposed:
         return _say_key(state, entry, holder, known, record.digest)
     if _is_ended(holder) and not record.exposed:
-        return _say(state, entry, holder, Code.FENCED)
+        return _say(state, entry, holder, VerdictCode.FENCED)
     balance = state.by_account.get(record.account)
     if balance is None or record.request_id in state.registry.by_request_id:
-        return _say(state, entry, holder, Code.REFUSED)
+        return _say(state, entry, holder, VerdictCode.REFUSED)
     if not budgets.open_reserve(balance, entry.holder, record.reserve):
-        return _say(state, entry, holder, Code.BUDGET_EXHAUSTED)
+        return _say(state, entry, holder, VerdictCode.BUDGET_EXHAUSTED)
     start(state.registry, entry.holder, record, state.stamp)
-    return _say(state, entry, holder, Code.OK)
+    return _say(state, entry, holder, VerdictCode.OK)
 
 
 def _on_bill(state: State, entry: Entry, holder: HolderState, record: Bill) -> Verdict:
@@ -255,12 +255,12 @@
     if request is None or entry.holder not in (request.owner, request.holder):
         return _on_late_bill(state, entry, holder, record)
     balance = state.by_account[request.account]
-    code = Code.OK
+    code = VerdictCode.OK
     if is_beaten(state.registry, record, request):
         used = record.cost + record.wasted
         budgets.settle(balance, request.holder, request.reserve, 0, used)
         drop(state.registry, record.request_id)
-        code = Code.WASTED
+        code = VerdictCode.WASTED
     else:
         budgets.settle(balance, request.holder, request.reserve, record.cost, record.wasted)
         finish(state.registry, record, state.stamp)
@@ -280,20 +280,22 @@
 def _on_extend(state: State, entry: Entry, holder: HolderState, record: Extend) -> Verdict:
     request = state.registry.by_request_id.get(record.request_id)
     if request is None or entry.holder != request.holder:
-        return _say(state, entry, holder, Code.NOT_OPEN)
+        return _say(state, entry, holder, VerdictCode.NOT_OPEN)
     if _is_ended(holder) and not record.exposed:
-        return _say(state, entry, holder, Code.FENCED)
+        return _say(state, entry, holder, VerdictCode.FENCED)
     balance = state.by_account[request.account]
     if not budgets.open_reserve(balance, request.holder, record.amount):
-        return _say(state, entry, holder, Code.BUDGET_EXHAUSTED)
+        return _say(state, entry, holder, VerdictCode.BUDGET_EXHAUSTED)
     request.reserve += record.amount
-    return _say(state, entry, holder, Code.OK)
+    return _say(state, entry, holder, VerdictCode.OK)
 
 
 def _on_waste(state: State, entry: Entry, holder: HolderState, record: Waste) -> Verdict:
     balance = state.by_account.get(record.account)
     lost = budgets.waste(balance, entry.holder, record.amount) if balance else 0
-    return _say(state, entry, holder, Code.OK if lost == record.amount else Code.REFUSED)
+    return _say(
+        state, entry, holder, VerdictCode.OK if lost == record.amount else VerdictCode.REFUSED
+    )
 
 
 def _on_late_bill(state: State, entry: Entry, holder: HolderState, record: Bill) -> Verdict:
@@ -306,27 +308,27 @@
     if settled and record.outcome is not Outcome.NOT_RUN:
         budgets.bill_late(state.by_account[settled.request.account], entry.holder, record.cost)
         correct(state.registry, settled, record, state.stamp)
-        return _say(state, entry, holder, Code.OK)
+        return _say(state, entry, holder, VerdictCode.OK)
     known = state.registry.settled_by_request_id.get(record.request_id)
-    return _say(state, entry, holder, Code.NOT_OPEN, outcome=known.outcome if known else "")
+    return _say(state, entry, holder, VerdictCode.NOT_OPEN, outcome=known.outcome if known else "")
 
 
 def _on_adopt(state: State, entry: Entry, holder: HolderState, record: Adopt) -> Verdict:
     request = state.registry.by_request_id.get(record.request_id)
     if request is None:
-        return _say(state, entry, holder, Code.NOT_OPEN)
+        return _say(state, entry, holder, VerdictCode.NOT_OPEN)
     owner = state.by_holder.get(request.owner)
     lost = owner is None or owner.status in (HolderStatus.FENCED, HolderStatus.CLOSED)
     if not lost or holder.status not in (HolderStatus.OPEN, HolderStatus.LEAVING):
-        return _say(state, entry, holder, Code.REFUSED)
+        return _say(state, entry, holder, VerdictCode.REFUSED)
     request.owner = entry.holder
-    return _say(state, entry, holder, Code.OK)
+    return _say(state, entry, holder, VerdictCode.OK)
 
 
 def _on_proposal(state: State, entry: Entry, holder: HolderState, record: Proposal) -> Verdict:
     accepted = propose(state.catalog, record, state.offset)
     version = version_of(state.catalog, record.kind, record.name)
-    code = Code.OK if accepted else Code.OUTDATED
+    code = VerdictCode.OK if accepted else VerdictCode.OUTDATED
     return _say(state, entry, holder, code, available=version)
 
 
@@ -334,14 +336,14 @@
     state: State, entry: Entry, holder: HolderState, record: Checkpointed
 ) -> Verdict:
     state.checkpoint_offset = max(state.checkpoint_offset, record.offset)
-    return _say(state, entry, holder, Code.OK)
+    return _say(state, entry, holder, VerdictCode.OK)
 
 
 _RULES: dict[type, Callable[..., Verdict]] = {
-    Open: _on_open,
+    OpenHolder: _on_open,
     Heartbeat: _on_heartbeat,
     Leaving: _on_leaving,
-    Close: _on_close,
+    CloseHolder: _on_close,
     TopUp: _on_top_up,
     Grant: _on_grant,
     Return: _on_return,
--- a/railtide/journal/tests/test_checkpoint.py
+++ b/railtide/journal/tests/test_checkpoint.py
@@ -5,7 +5,7 @@
 import trio
 
 from railtide.journal import checkpoint
-from railtide.journal.checkpoint import latest_checkpoint, parts_of, write_checkpoint
+from railtide.journal.checkpoint import checkpoint_parts, latest_checkpoint, write_checkpoint
 from railtide.journal.client import LogClient, Page
 from railtide.journal.errors import LogUnavailable
 from railtide.journal.state import State
@@ -60,15 +60,15 @@
     async def test_newest_whole_one_is_found(self, monkeypatch) -> None:
         monkeypatch.setattr(checkpoint, "PART_BYTES", 16)
         log = MemoryLog()
-        await write_checkpoint(log, "journal", parts_of(State(offset=3), "a"))
-        await write_checkpoint(log, "journal", parts_of(State(offset=9), "b"))
-        await write_checkpoint(log, "journal", parts_of(State(offset=12), "c")[:-1])
+        await write_checkpoint(log, "journal", checkpoint_parts(State(offset=3), "a"))
+        await write_checkpoint(log, "journal", checkpoint_parts(State(offset=9), "b"))
+        await write_checkpoint(log, "journal", checkpoint_parts(State(offset=12), "c")[:-1])
         assert (await latest_checkpoint(log, "journal")).offset == 9
 
     async def test_is_found_behind_expired_records(self) -> None:
         log = MemoryLog()
         for offset in range(5):
-            await write_checkpoint(log, "journal", parts_of(State(offset=offset), "a"))
+            await write_checkpoint(log, "journal", checkpoint_parts(State(offset=offset), "a"))
         log.store.expire("journal-checkpoints", 4)
         assert (await latest_checkpoint(log, "journal")).offset == 4
 
@@ -77,7 +77,7 @@
         monkeypatch.setattr(checkpoint, "PART_BYTES", 16)
         log = MemoryLog()
         for offset in range(10):
-            parts = parts_of(State(offset=offset), "a")
+            parts = checkpoint_parts(State(offset=offset), "a")
             await write_checkpoint(log, "journal", parts)
         assert (await latest_checkpoint(log, "journal")).offset == 9
         assert log.records_read <= len(parts) + 1
@@ -86,7 +86,9 @@
         monkeypatch.setattr(checkpoint, "PART_BYTES", 16)
         log = MemoryLog()
         for pair in zip(
-            parts_of(State(offset=5), "a"), parts_of(State(offset=5), "b"), strict=True
+            checkpoint_parts(State(offset=5), "a"),
+            checkpoint_parts(State(offset=5), "b"),
+            strict=True,
         ):
             await write_checkpoint(log, "journal", list(pair))
         assert (await latest_checkpoint(log, "journal")).offset == 5
@@ -97,7 +99,7 @@
         """Each break threw all parts away, so that none was ever whole."""
         monkeypatch.setattr(checkpoint, "PART_BYTES", 1)
         log = BrokenLog()
-        parts = parts_of(State(offset=3), "a")
+        parts = checkpoint_parts(State(offset=3), "a")
         assert len(parts) > 32
         for number in range(4):
             log.store.append("journal", b"%d" % number)
--- a/railtide/journal/tests/test_fold.py
+++ b/railtide/journal/tests/test_fold.py
@@ -4,10 +4,10 @@
 from railtide.budgets.messages import Fence, Grant, Release, Return, TopUp, Waste
 from railtide.configuration.messages import Proposal
 from railtide.journal.checkpoint import state_from_bytes, state_to_bytes
-from railtide.journal.entries import Code, Entry, Record, make_entry
+from railtide.journal.entries import Entry, Record, VerdictCode, make_entry
 from railtide.journal.fold import OPEN_MAX_AGE_MS, fold
 from railtide.journal.state import HolderStatus, State
-from railtide.membership.messages import Close, Heartbeat, Open
+from railtide.membership.messages import CloseHolder, Heartbeat, OpenHolder
 from railtide.requests.messages import Adopt, Bill, Extend, Intent, Lookup, Outcome
 
 ACCOUNT = "pantry"
@@ -23,7 +23,7 @@
         self.seqs: dict[str, int] = {}
         self.written: list[Entry] = []
         for holder in ("op", *holders):
-            self.write(holder, Open(holder, "d", "", "router", 0))
+            self.write(holder, OpenHolder(holder, "d", "", "router", 0))
         self.write("op", Proposal("account", ACCOUNT, 0, b"{}"))
 
     def entry(self, holder: str, record: Record) -> Entry:
@@ -61,7 +61,7 @@
         log = Log()
         entry = log.entry("a", Heartbeat())
         unknown = Entry("a", entry.seq, 0, b"\x93\xcd\x03\xe7\x01\x02")
-        assert log.fold([unknown])[0].verdict.code == Code.SKIPPED
+        assert log.fold([unknown])[0].verdict.code == VerdictCode.SKIPPED
         assert log.write("a", Heartbeat()).ok
 
     def test_record_with_a_newer_field_is_read(self) -> None:
@@ -79,10 +79,10 @@
     def test_late_open_of_a_forgotten_holder_is_refused(self) -> None:
         log = Log()
         first = log.written[1]
-        log.write("a", Close())
+        log.write("a", CloseHolder())
         log.stamp = 2 * OPEN_MAX_AGE_MS
         log.write("op", Heartbeat())
-        log.fold([log.entry("d", Open("d", "", "", "router", log.stamp))])
+        log.fold([log.entry("d", OpenHolder("d", "", "", "router", log.stamp))])
         assert "a" not in log.state.by_holder
         assert log.fold([first]) == []
         assert "a" not in log.state.by_holder
@@ -101,16 +101,16 @@
         log.write("op", TopUp(ACCOUNT, 10, "t"))
         assert log.write("a", Grant(ACCOUNT, 8, 0)).ok
         refused = log.write("b", Grant(ACCOUNT, 8, 0))
-        assert (refused.code, refused.available) == (Code.BUDGET_EXHAUSTED, 2)
+        assert (refused.code, refused.available) == (VerdictCode.BUDGET_EXHAUSTED, 2)
 
     def test_top_up_counts_once_by_its_id(self) -> None:
         log = Log()
         assert log.write("op", TopUp(ACCOUNT, 10, "t")).ok
-        assert log.write("a", TopUp(ACCOUNT, 10, "t")).code == Code.REFUSED
+        assert log.write("a", TopUp(ACCOUNT, 10, "t")).code == VerdictCode.REFUSED
         assert log.balance.topped_up == 10
 
     def test_top_up_of_unknown_account_is_refused(self) -> None:
-        assert Log().write("op", TopUp("nobody", 1, "t")).code == Code.UNKNOWN_ACCOUNT
+        assert Log().write("op", TopUp("nobody", 1, "t")).code == VerdictCode.UNKNOWN_ACCOUNT
 
     def test_fence_withholds_open_requests_and_exposure(self) -> None:
         log = Log()
@@ -124,7 +124,7 @@
         log = Log()
         seen = log.seqs["a"]
         log.write("a", Heartbeat())
-        assert log.write("b", Fence("a", seen)).code == Code.REFUSED
+        assert log.write("b", Fence("a", seen)).code == VerdictCode.REFUSED
         assert log.state.by_holder["a"].status == HolderStatus.OPEN
 
     def test_late_return_of_a_fenced_holder_frees_nothing(self) -> None:
@@ -132,21 +132,21 @@
         log.write("op", TopUp(ACCOUNT, 100, "t"))
         log.write("a", Grant(ACCOUNT, 60, 10))
         log.write("b", Fence("a", log.seqs["a"]))
-        assert log.write("a", Return(ACCOUNT, 10)).code == Code.REFUSED
+        assert log.write("a", Return(ACCOUNT, 10)).code == VerdictCode.REFUSED
         assert available(log.balance) == 90
 
     def test_fenced_holder_gets_no_grant(self) -> None:
         log = Log()
         log.write("op", TopUp(ACCOUNT, 100, "t"))
         log.write("b", Fence("a", log.seqs["a"]))
-        assert log.write("a", Grant(ACCOUNT, 1, 0)).code == Code.FENCED
+        assert log.write("a", Grant(ACCOUNT, 1, 0)).code == VerdictCode.FENCED
 
     def test_close_gives_back_all_but_open_requests(self) -> None:
         log = Log()
         log.write("op", TopUp(ACCOUNT, 100, "t"))
         log.write("a", Grant(ACCOUNT, 60, 10))
         log.write("a", Intent("r", ACCOUNT, 5, "p"))
-        log.write("a", Close())
+        log.write("a", CloseHolder())
         assert available(log.balance) == 95
         log.write("b", Adopt("r"))
         log.write("b", Bill("r", 3))
@@ -156,7 +156,7 @@
         log = Log()
         log.write("op", TopUp(ACCOUNT, 100, "t"))
         log.write("a", Grant(ACCOUNT, 60, 10))
-        assert log.write("op", Release("a")).code == Code.REFUSED
+        assert log.write("op", Release("a")).code == VerdictCode.REFUSED
         log.write("b", Fence("a", log.seqs["a"]))
         assert log.write("op", Release("a")).ok
         assert available(log.balance) == 100
@@ -174,7 +174,7 @@
         log = self.ready()
         log.write("a", Intent("r", ACCOUNT, 10, "p"))
         assert log.write("a", Bill("r", 7)).ok
-        assert log.write("a", Bill("r", 7)).code == Code.NOT_OPEN
+        assert log.write("a", Bill("r", 7)).code == VerdictCode.NOT_OPEN
         assert log.balance.billed == 7
 
     def test_bill_is_bounded_by_the_reserve(self) -> None:
@@ -186,15 +186,15 @@
     def test_claim_is_won_once(self) -> None:
         log = self.ready()
         assert log.write("a", Intent("r1", ACCOUNT, 10, "p", "k")).ok
-        assert log.write("b", Intent("r2", ACCOUNT, 10, "p", "k")).code == Code.KEY_OPEN
+        assert log.write("b", Intent("r2", ACCOUNT, 10, "p", "k")).code == VerdictCode.KEY_OPEN
         log.write("a", Bill("r1", 1))
-        assert log.write("b", Intent("r3", ACCOUNT, 10, "p", "k")).code == Code.KEY_USED
+        assert log.write("b", Intent("r3", ACCOUNT, 10, "p", "k")).code == VerdictCode.KEY_USED
 
     def test_key_of_another_request_learns_nothing(self) -> None:
         log = self.ready()
         log.write("a", Intent("r1", ACCOUNT, 10, "p", "k", digest=1))
         verdict = log.write("b", Lookup(ACCOUNT, "k", digest=2))
-        assert (verdict.code, verdict.request_id) == (Code.KEY_MISMATCH, "")
+        assert (verdict.code, verdict.request_id) == (VerdictCode.KEY_MISMATCH, "")
 
     def test_key_is_free_after_not_run(self) -> None:
         log = self.ready()
@@ -207,18 +207,18 @@
         log.write("a", Intent("r1", ACCOUNT, 10, "p", "k", False))
         log.write("a", Bill("r1", 10, Outcome.UNKNOWN))
         verdict = log.write("b", Intent("r2", ACCOUNT, 10, "p", "k", False))
-        assert (verdict.code, verdict.outcome) == (Code.KEY_USED, Outcome.UNKNOWN)
+        assert (verdict.code, verdict.outcome) == (VerdictCode.KEY_USED, Outcome.UNKNOWN)
 
     def test_only_a_lost_holders_request_is_adopted(self) -> None:
         log = self.ready()
         log.write("a", Intent("r", ACCOUNT, 10, "p"))
-        assert log.write("b", Adopt("r")).code == Code.REFUSED
+        assert log.write("b", Adopt("r")).code == VerdictCode.REFUSED
         log.write("b", Fence("a", log.seqs["a"]))
         assert log.write("b", Adopt("r")).ok
-        assert log.write("c", Adopt("r")).code == Code.REFUSED
+        assert log.write("c", Adopt("r")).code == VerdictCode.REFUSED
         log.write("b", Bill("r", 4))
         late = log.write("a", Bill("r", 5))
-        assert (late.code, late.outcome) == (Code.NOT_OPEN, Outcome.DONE)
+        assert (late.code, late.outcome) == (VerdictCode.NOT_OPEN, Outcome.DONE)
         assert log.balance.billed == 4
 
     def lost(self, key: str = "") -> Log:
@@ -233,33 +233,33 @@
     def test_holder_that_ran_it_after_all_bills_it_once(self) -> None:
         log = self.lost("k")
         assert log.write("a", Bill("r", 5)).ok
-        assert log.write("a", Bill("r", 5)).code == Code.NOT_OPEN
+        assert log.write("a", Bill("r", 5)).code == VerdictCode.NOT_OPEN
         assert log.balance.billed == 5
-        assert log.write("b", Intent("r2", ACCOUNT, 10, "p", "k")).code == Code.KEY_USED
+        assert log.write("b", Intent("r2", ACCOUNT, 10, "p", "k")).code == VerdictCode.KEY_USED
 
     def test_holder_that_ran_it_is_too_late_once_the_key_is_taken(self) -> None:
         log = self.lost("k")
         assert log.write("b", Intent("r2", ACCOUNT, 10, "p", "k")).ok
         late = log.write("a", Bill("r", 5))
-        assert (late.code, late.outcome) == (Code.NOT_OPEN, Outcome.NOT_RUN)
+        assert (late.code, late.outcome) == (VerdictCode.NOT_OPEN, Outcome.NOT_RUN)
 
     def test_nobody_else_corrects_a_settlement(self) -> None:
         log = self.lost()
-        assert log.write("c", Bill("r", 5)).code == Code.NOT_OPEN
+        assert log.write("c", Bill("r", 5)).code == VerdictCode.NOT_OPEN
 
     def test_late_claim_of_a_fenced_holder_takes_no_room_from_what_was_sent(self) -> None:
         log = self.ready()
         log.write("b", Fence("a", log.seqs["a"]))
         for number in range(2):
             claim = Intent(f"c{number}", ACCOUNT, 10, "p", f"k{number}")
-            assert log.write("a", claim).code == Code.FENCED
+            assert log.write("a", claim).code == VerdictCode.FENCED
         assert log.write("a", Intent("sent", ACCOUNT, 20, "p", exposed=True)).ok
 
     def test_late_extension_that_was_not_sent_is_refused(self) -> None:
         log = self.ready()
         log.write("a", Intent("r", ACCOUNT, 10, "p"))
         log.write("b", Fence("a", log.seqs["a"]))
-        assert log.write("a", Extend("r", 10)).code == Code.FENCED
+        assert log.write("a", Extend("r", 10)).code == VerdictCode.FENCED
         assert log.write("a", Extend("r", 10, exposed=True)).ok
 
     def test_key_sent_without_its_claim_is_billed_once(self) -> None:
@@ -267,7 +267,7 @@
         log.write("a", Intent("r1", ACCOUNT, 10, "p", "k"))
         assert log.write("b", Intent("r2", ACCOUNT, 10, "p", "k", exposed=True)).ok
         assert log.write("b", Bill("r2", 7)).ok
-        assert log.write("a", Bill("r1", 6)).code == Code.WASTED
+        assert log.write("a", Bill("r1", 6)).code == VerdictCode.WASTED
         assert (log.balance.billed, log.balance.wasted) == (7, 6)
         assert log.write("c", Lookup(ACCOUNT, "k")).request_id == "r2"
 
@@ -276,7 +276,7 @@
         log.write("a", Intent("r1", ACCOUNT, 10, "p", "k"))
         log.write("b", Intent("r2", ACCOUNT, 10, "p", "k", exposed=True))
         log.write("a", Bill("r1", 6))
-        assert log.write("b", Bill("r2", 7)).code == Code.WASTED
+        assert log.write("b", Bill("r2", 7)).code == VerdictCode.WASTED
         assert (log.balance.billed, log.balance.wasted) == (6, 7)
 
     def test_lost_claim_does_not_free_a_key_that_another_run_used(self) -> None:
@@ -285,12 +285,12 @@
         log.write("b", Intent("r2", ACCOUNT, 10, "p", "k", exposed=True))
         log.write("b", Bill("r2", 7))
         log.write("a", Bill("r1", 0, Outcome.NOT_RUN))
-        assert log.write("c", Lookup(ACCOUNT, "k")).code == Code.KEY_USED
+        assert log.write("c", Lookup(ACCOUNT, "k")).code == VerdictCode.KEY_USED
 
     def test_stranger_can_not_bill(self) -> None:
         log = self.ready()
         log.write("a", Intent("r", ACCOUNT, 10, "p"))
-        assert log.write("b", Bill("r", 5)).code == Code.NOT_OPEN
+        assert log.write("b", Bill("r", 5)).code == VerdictCode.NOT_OPEN
 
     def test_extension_raises_the_reserve_and_waste_is_counted_apart(self) -> None:
         log = self.ready()
@@ -307,7 +307,7 @@
         log = Log()
         assert log.write("a", Proposal("template", "t", 0, b"1")).ok
         lost = log.write("b", Proposal("template", "t", 0, b"2"))
-        assert (lost.code, lost.available) == (Code.OUTDATED, 1)
+        assert (lost.code, lost.available) == (VerdictCode.OUTDATED, 1)
         assert log.state.catalog.by_kind_and_name[("template", "t")].body == b"1"
 
 
--- a/railtide/journal/tests/test_writer.py
+++ b/railtide/journal/tests/test_writer.py
@@ -2,7 +2,7 @@
 
 import trio
 
-from railtide.journal.entries import Code, Verdict
+from railtide.journal.entries import Verdict, VerdictCode
 from railtide.journal.writer import Writer
 from railtide.membership.messages import Heartbeat
 
@@ -13,7 +13,7 @@
         writer = Writer("a", lambda entry, trace: sent.append(entry))
         submissions = [writer.submit(Heartbeat()) for _ in range(2)]
         assert writer.pending() == sent
-        writer.apply_verdict(Verdict(1, Code.OK, 0))
+        writer.apply_verdict(Verdict(1, VerdictCode.OK, 0))
         assert [entry.seq for entry in writer.pending()] == [2]
         assert submissions[0].durable and not submissions[1].durable
 
@@ -21,24 +21,24 @@
         writer = Writer("a", lambda entry, trace: None)
         for _ in range(3):
             writer.submit(Heartbeat())
-        writer.apply_verdict(Verdict(2, Code.OK, 0))
+        writer.apply_verdict(Verdict(2, VerdictCode.OK, 0))
         writer.submit(Heartbeat())
         assert writer.pending()[-1].acked == 0
-        writer.apply_verdict(Verdict(1, Code.OK, 0))
+        writer.apply_verdict(Verdict(1, VerdictCode.OK, 0))
         writer.submit(Heartbeat())
         assert writer.pending()[-1].acked == 2
 
     async def test_second_verdict_is_ignored(self) -> None:
         writer = Writer("a", lambda entry, trace: None)
         writer.submit(Heartbeat())
-        assert writer.apply_verdict(Verdict(1, Code.OK, 0))
-        assert writer.apply_verdict(Verdict(1, Code.OK, 0)) is None
+        assert writer.apply_verdict(Verdict(1, VerdictCode.OK, 0))
+        assert writer.apply_verdict(Verdict(1, VerdictCode.OK, 0)) is None
         assert writer.pending_bytes == 0
 
     async def test_fenced_verdict_is_no_proof(self, autojump_clock) -> None:
         writer = Writer("a", lambda entry, trace: None)
         await trio.sleep(1)
         writer.submit(Heartbeat())
-        writer.apply_verdict(Verdict(1, Code.OK, 0, fenced=True))
+        writer.apply_verdict(Verdict(1, VerdictCode.OK, 0, fenced=True))
         assert writer.fenced
         assert writer.unfenced_at == 0.0
--- a/railtide/keeper/appender.py
+++ b/railtide/keeper/appender.py
@@ -36,8 +36,8 @@
     so a lost answer, an append that never arrived and one that arrived twice are all cured by
     appending again. While the fold is behind an append that was answered, its entries are not sent
     again: the log would grow by that for all who read it, and the fold fall behind further.
-    Entries of a holder that the fold does not know even after the append (its `Open` was too old)
-    are handed to `on_refused`.
+    Entries of a holder that the fold does not know even after the append (its `OpenHolder` was too
+    old) are handed to `on_refused`.
     """
 
     def __init__(
--- a/railtide/keeper/follower.py
+++ b/railtide/keeper/follower.py
@@ -12,7 +12,7 @@
 from railtide.journal.client import LogClient, LogRecord, Page
 from railtide.journal.entries import batch_from_bytes
 from railtide.journal.errors import LogUnavailable, RecordsExpired, UnreadableBatch
-from railtide.journal.fold import Folded, fold
+from railtide.journal.fold import FoldedEntry, fold
 from railtide.journal.state import State
 from railtide.keeper.options import KeeperOptions
 
@@ -40,7 +40,7 @@
         log: LogClient,
         options: KeeperOptions,
         rng: Random,
-        on_folded: Callable[[list[Folded]], None],
+        on_folded: Callable[[list[FoldedEntry]], None],
         on_reachable: Callable[[bool], None],
         on_restored: Callable[[], None],
     ) -> None:
--- a/railtide/keeper/keeper.py
+++ b/railtide/keeper/keeper.py
@@ -7,11 +7,11 @@
 
 from railtide.budgets.messages import Fence, Grant
 from railtide.configuration.messages import Proposal
-from railtide.journal.checkpoint import parts_of, write_checkpoint
+from railtide.journal.checkpoint import checkpoint_parts, write_checkpoint
 from railtide.journal.client import LogClient
-from railtide.journal.entries import Code, Entry, Verdict
+from railtide.journal.entries import Entry, Verdict, VerdictCode
 from railtide.journal.errors import LogUnavailable
-from railtide.journal.fold import Folded
+from railtide.journal.fold import FoldedEntry
 from railtide.journal.state import State
 from railtide.journal.writer import Writer
 from railtide.keeper.appender import Appender
@@ -26,7 +26,7 @@
     InstanceList,
     merge_instances,
 )
-from railtide.membership.messages import Checkpointed, Close, Heartbeat, Leaving, Open
+from railtide.membership.messages import Checkpointed, CloseHolder, Heartbeat, Leaving, OpenHolder
 from railtide.wire.messages import (
     DemandMessage,
     LogStatusMessage,
@@ -116,7 +116,7 @@
         """Append what is queued and close this keeper's holder, as long as the log answers."""
         if self._writer is None:
             return
-        self._writer.submit(Close())
+        self._writer.submit(CloseHolder())
         with trio.move_on_after(LEAVE_S):
             while self.appender.pending():
                 await trio.sleep(self.options.append_interval_s)
@@ -139,7 +139,7 @@
         while True:
             await trio.sleep(self.options.lease_s / LEASE_PARTS)
             if self._writer.fenced:
-                self._writer.submit(Close())
+                self._writer.submit(CloseHolder())
                 self._writer = self._open_writer()
             elif not self.appender.pending_of(self._writer.holder):
                 self._writer.submit(Heartbeat())
@@ -156,7 +156,7 @@
         self._epochs += 1
         holder = who.holder(Role.KEEPER, self._epochs)
         writer = Writer(holder, self.appender.add)
-        writer.submit(Open(who.instance, who.failure_domain, who.address, Role.KEEPER, since))
+        writer.submit(OpenHolder(who.instance, who.failure_domain, who.address, Role.KEEPER, since))
         return writer
 
     async def _run_orphans(self) -> None:
@@ -188,7 +188,7 @@
         offset = self.state.offset
         try:
             await write_checkpoint(
-                self._log, self.options.stream, parts_of(self.state, self._writer.holder)
+                self._log, self.options.stream, checkpoint_parts(self.state, self._writer.holder)
             )
         except LogUnavailable:
             return
@@ -264,37 +264,37 @@
     def _on_refused(self, entries: list[Entry]) -> None:
         """Tell a writer that the fold will never take its holder."""
         for entry in entries:
-            verdict = Verdict(entry.seq, Code.REFUSED, self.state.offset, fenced=True)
+            verdict = Verdict(entry.seq, VerdictCode.REFUSED, self.state.offset, fenced=True)
             subscriber = self._subscriber_by_holder.get(entry.holder)
             if subscriber:
                 subscriber.deliver(VerdictMessage(entry.holder, verdict))
             elif self._writer and entry.holder == self._writer.holder:
                 self._writer.apply_verdict(verdict)
 
-    def _on_folded(self, taken: list[Folded]) -> None:
+    def _on_folded(self, taken: list[FoldedEntry]) -> None:
         for folded in taken:
             self.fencer.hear(folded.holder)
             self.appender.passed(folded.holder, folded.verdict.seq)
             self._tell_writer(folded)
             self._tell_of_record(folded)
 
-    def _tell_writer(self, folded: Folded) -> None:
+    def _tell_writer(self, folded: FoldedEntry) -> None:
         if self._writer and folded.holder == self._writer.holder:
             self._writer.apply_verdict(folded.verdict)
         subscriber = self._subscriber_by_holder.get(folded.holder)
         if subscriber:
             subscriber.deliver(VerdictMessage(folded.holder, folded.verdict))
 
-    def _tell_of_record(self, folded: Folded) -> None:
+    def _tell_of_record(self, folded: FoldedEntry) -> None:
         record = folded.record
         code = folded.verdict.code
-        if isinstance(record, Proposal) and code == Code.OK:
+        if isinstance(record, Proposal) and code == VerdictCode.OK:
             self._tell_of_object(record)
-        elif isinstance(record, Grant) and code == Code.BUDGET_EXHAUSTED:
+        elif isinstance(record, Grant) and code == VerdictCode.BUDGET_EXHAUSTED:
             self._tell_all(DemandMessage(record.account))
-        elif isinstance(record, Open | Close | Leaving | Fence):
+        elif isinstance(record, OpenHolder | CloseHolder | Leaving | Fence):
             self._announce_members()
-            if isinstance(record, Close):
+            if isinstance(record, CloseHolder):
                 self.fencer.forget(folded.holder)
 
     def _tell_of_object(self, record: Proposal) -> None:
--- a/railtide/keeper/tests/test_appender.py
+++ b/railtide/keeper/tests/test_appender.py
@@ -11,7 +11,7 @@
 from railtide.keeper.appender import Appender
 from railtide.keeper.follower import Follower
 from railtide.keeper.options import KeeperOptions
-from railtide.membership.messages import Heartbeat, Open
+from railtide.membership.messages import Heartbeat, OpenHolder
 from railtide.requests.messages import Answer, Bill
 from railtide.standins.log import LogStore
 from railtide.standins.narrow_stream import NARROW_BYTES_S
@@ -73,7 +73,7 @@
 
 def entries(since: int = 0):
     return (
-        make_entry("h", 1, 0, Open("i", "d", "", "router", since)),
+        make_entry("h", 1, 0, OpenHolder("i", "d", "", "router", since)),
         make_entry("h", 2, 0, Heartbeat()),
     )
 
--- a/railtide/keeper/tests/test_narrow_links.py
+++ b/railtide/keeper/tests/test_narrow_links.py
@@ -9,7 +9,7 @@
 import trio.testing
 
 from railtide.configuration.objects import Versioned
-from railtide.journal.checkpoint import PART_BYTES, latest_checkpoint, parts_of
+from railtide.journal.checkpoint import PART_BYTES, checkpoint_parts, latest_checkpoint
 from railtide.journal.client import LogClient, LogRecord, Page
 from railtide.journal.errors import LogUnavailable
 from railtide.journal.state import HolderState, State
@@ -114,7 +114,7 @@
             f"holder-{number}": HolderState("i" * 4_000, "d", "a", "router", 0)
             for number in range(1_000)
         }
-        for part in parts_of(state, "a"):
+        for part in checkpoint_parts(state, "a"):
             log.store.append(f"{STREAM}-checkpoints", part)
         async with peer_log(log, keeper_of(log)) as peer:
             found = await latest_checkpoint(peer, STREAM)
--- a/railtide/membership/messages.py
+++ b/railtide/membership/messages.py
@@ -2,10 +2,10 @@
 
 from msgspec import Struct
 
-__all__ = ["Checkpointed", "Close", "Heartbeat", "Leaving", "Open"]
+__all__ = ["Checkpointed", "CloseHolder", "Heartbeat", "Leaving", "OpenHolder"]
 
 
-class Open(Struct, frozen=True, array_like=True, tag=40):
+class OpenHolder(Struct, frozen=True, array_like=True, tag=40):
     """The first record of a holder.
 
     `since` is the log's time in milliseconds that the process knew when it made its id; an
@@ -27,7 +27,7 @@
     """The holder takes no new callers."""
 
 
-class Close(Struct, frozen=True, array_like=True, tag=43):
+class CloseHolder(Struct, frozen=True, array_like=True, tag=43):
     """The last record of a holder: all it has left goes back."""
 
 
--- a/railtide/operators/bills.py
+++ b/railtide/operators/bills.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from railtide.journal.client import LogClient
-from railtide.journal.entries import Entry, batch_from_bytes, record_of
+from railtide.journal.entries import Entry, batch_from_bytes, decode_record
 from railtide.journal.errors import RecordsExpired, UnreadableBatch
 from railtide.requests.messages import Bill, Intent
 
@@ -38,7 +38,7 @@
         if entry.seq <= self._last_seq_by_holder.get(entry.holder, 0):
             return
         self._last_seq_by_holder[entry.holder] = entry.seq
-        record = record_of(entry)
+        record = decode_record(entry)
         if isinstance(record, Intent) and record.account == self._account:
             self._open.add(record.request_id)
         elif isinstance(record, Bill) and record.request_id in self._open:
--- a/railtide/operators/program.py
+++ b/railtide/operators/program.py
@@ -17,7 +17,7 @@
 from railtide.configuration.models import key_hash as hash_of_key
 from railtide.configuration.objects import version_of
 from railtide.errors import RailtideError
-from railtide.journal.entries import Code
+from railtide.journal.entries import VerdictCode
 from railtide.journal.http_log import open_http_log
 from railtide.journal.state import State
 from railtide.keeper.options import KeeperOptions
@@ -77,7 +77,7 @@
             _check_account(session.state, checked)
         base = version_of(session.state.catalog, kind, name) if base_version < 0 else base_version
         verdict = await session.submit(Proposal(kind, name, base, body, author))
-        if verdict.code == Code.OUTDATED:
+        if verdict.code == VerdictCode.OUTDATED:
             raise OutdatedVersion(
                 f"{kind} {name} is at version {verdict.available}; read it and publish again"
             )
@@ -104,7 +104,7 @@
 
 
 def _check_ok(code: str) -> None:
-    if code != Code.OK:
+    if code != VerdictCode.OK:
         raise Refused(code)
 
 
@@ -133,7 +133,7 @@
             verdict = await session.submit(TopUp(account, amount, used_id))
         except NoVerdict as err:
             raise NoVerdict(f"{err.detail}; try again with --top-up-id {used_id}") from err
-        if verdict.code == Code.REFUSED:
+        if verdict.code == VerdictCode.REFUSED:
             raise Refused(f"the top-up {used_id} was made before")
         _check_ok(verdict.code)
         _print({"account": account, "top_up_id": used_id, "available": verdict.available})
@@ -242,7 +242,7 @@
 
     async def act(session: Session) -> None:
         verdict = await session.submit(Release(holder))
-        if verdict.code != Code.OK:
+        if verdict.code != VerdictCode.OK:
             raise Refused(f"{holder!r} is not a fenced holder")
         _print({"released": holder})
 
--- a/railtide/operators/session.py
+++ b/railtide/operators/session.py
@@ -8,14 +8,14 @@
 
 from railtide.journal.client import LogClient
 from railtide.journal.entries import Entry, Record, Verdict
-from railtide.journal.fold import Folded
+from railtide.journal.fold import FoldedEntry
 from railtide.journal.state import State
 from railtide.journal.writer import Writer
 from railtide.keeper.appender import Appender
 from railtide.keeper.follower import Follower
 from railtide.keeper.options import KeeperOptions
 from railtide.membership.identity import Identity, Role
-from railtide.membership.messages import Close, Open
+from railtide.membership.messages import CloseHolder, OpenHolder
 from railtide.operators.errors import NoVerdict
 from railtide.process import new_incarnation
 
@@ -85,15 +85,15 @@
     async def close(self) -> None:
         """Close this session's holder."""
         if self._writer:
-            await self.submit(Close())
+            await self.submit(CloseHolder())
 
     def _open_writer(self) -> Writer:
         who = Identity(Role.OPERATOR, "", "", new_incarnation())
         writer = Writer(who.holder(Role.OPERATOR, 1), self.appender.add)
-        writer.submit(Open(who.instance, "", "", Role.OPERATOR, self.state.stamp))
+        writer.submit(OpenHolder(who.instance, "", "", Role.OPERATOR, self.state.stamp))
         return writer
 
-    def _on_folded(self, taken: list[Folded]) -> None:
+    def _on_folded(self, taken: list[FoldedEntry]) -> None:
         for folded in taken:
             self.appender.passed(folded.holder, folded.verdict.seq)
             if self._writer and folded.holder == self._writer.holder:
--- a/railtide/requests/cover.py
+++ b/railtide/requests/cover.py
@@ -17,7 +17,7 @@
 
 from railtide.budgets.errors import ExposureReached
 from railtide.budgets.treasury import Reservation
-from railtide.journal.entries import Code, Verdict
+from railtide.journal.entries import Verdict, VerdictCode
 from railtide.journal.writer import Submission
 from railtide.requests.call import Call
 from railtide.requests.errors import (
@@ -54,9 +54,9 @@
     RequestInProgress, KeyReused, AnswerGone, OutcomeUnknown
         What else is known of the key.
     """
-    if verdict.code == Code.KEY_MISMATCH:
+    if verdict.code == VerdictCode.KEY_MISMATCH:
         raise KeyReused("this Idempotency-Key belongs to another request")
-    if verdict.code == Code.KEY_OPEN:
+    if verdict.code == VerdictCode.KEY_OPEN:
         raise RequestInProgress("a request with this key is open", retry_after=RETRY_SOON_S)
     if verdict.outcome == Outcome.UNKNOWN:
         raise OutcomeUnknown("a request with this key may have run; it is not sent again")
@@ -178,7 +178,7 @@
         if not self._services.log_reachable():
             raise ClaimUnavailable("the log can't record the claim", retry_after=RETRY_SOON_S)
         verdict = await self._wait(self._submit_intent(exposed=False))
-        if verdict.code in (Code.KEY_OPEN, Code.KEY_USED, Code.KEY_MISMATCH):
+        if verdict.code in (VerdictCode.KEY_OPEN, VerdictCode.KEY_USED, VerdictCode.KEY_MISMATCH):
             raise KnownAnswer(answer_of_verdict(verdict))
         self._check(verdict)
 
@@ -222,7 +222,7 @@
         if verdict.ok:
             return
         self._services.counters.add("intents_refused")
-        if record.exposed and verdict.code == Code.BUDGET_EXHAUSTED:
+        if record.exposed and verdict.code == VerdictCode.BUDGET_EXHAUSTED:
             self._services.counters.add("sent_intents_uncovered")
 
     async def _wait(self, submission: Submission) -> Verdict:
@@ -271,7 +271,7 @@
         """
         await self._hold(bill)
         verdict = bill.verdict
-        if verdict and verdict.code == Code.NOT_OPEN and verdict.outcome == Outcome.NOT_RUN:
+        if verdict and verdict.code == VerdictCode.NOT_OPEN and verdict.outcome == Outcome.NOT_RUN:
             raise HolderFenced("another router settled this request as not run")
 
     async def _hold(self, submission: Submission) -> None:
--- a/railtide/requests/execution.py
+++ b/railtide/requests/execution.py
@@ -12,7 +12,7 @@
 from railtide.containment.ends import UpstreamRun
 from railtide.containment.errors import ContentHeld
 from railtide.errors import RailtideError, Run
-from railtide.journal.entries import Code, Verdict
+from railtide.journal.entries import Verdict, VerdictCode
 from railtide.journal.writer import Submission
 from railtide.lanes.scheduler import PoolScheduler, Slot, WaitingRequest
 from railtide.membership.instances import Instance
@@ -351,7 +351,7 @@
 
     def _on_bill_decided(self, verdict: Verdict) -> None:
         """Count as waste what ran after another router had settled the request as not run."""
-        if verdict.code != Code.NOT_OPEN or verdict.outcome != Outcome.NOT_RUN:
+        if verdict.code != VerdictCode.NOT_OPEN or verdict.outcome != Outcome.NOT_RUN:
             return
         record = self._bill.record
         writer = self._reservation.epoch.writer
--- a/railtide/requests/tests/test_cover.py
+++ b/railtide/requests/tests/test_cover.py
@@ -5,7 +5,7 @@
 
 from railtide.budgets.treasury import Epoch, Reservation
 from railtide.configuration.models import AccountSettings
-from railtide.journal.entries import Code, Verdict
+from railtide.journal.entries import Verdict, VerdictCode
 from railtide.journal.writer import Writer
 from railtide.lanes.queue import Urgency
 from railtide.membership.messages import Heartbeat
@@ -70,7 +70,7 @@
         )
         self.cover = LogCover(call_with(key), Reservation(epoch, "a", 10), services)
 
-    def decide(self, code: str = Code.OK, **more: object) -> None:
+    def decide(self, code: str = VerdictCode.OK, **more: object) -> None:
         seq = self.writer.pending()[0].seq
         self.writer.apply_verdict(Verdict(seq, code, 0, **more))
 
@@ -96,7 +96,7 @@
             async with trio.open_nursery(strict_exception_groups=False) as nursery:
                 nursery.start_soon(case.cover.declare)
                 await trio.sleep(0.5)
-                case.decide(Code.KEY_USED, outcome=Outcome.DONE, answer=answer)
+                case.decide(VerdictCode.KEY_USED, outcome=Outcome.DONE, answer=answer)
         assert known.value.answer == answer
 
     async def test_fenced_holder_sends_nothing(self, autojump_clock) -> None:
@@ -148,10 +148,10 @@
     @pytest.mark.parametrize(
         "code,outcome,error",
         [
-            (Code.KEY_OPEN, "", RequestInProgress),
-            (Code.KEY_MISMATCH, "", KeyReused),
-            (Code.KEY_USED, Outcome.UNKNOWN, OutcomeUnknown),
-            (Code.KEY_USED, Outcome.DONE, AnswerGone),
+            (VerdictCode.KEY_OPEN, "", RequestInProgress),
+            (VerdictCode.KEY_MISMATCH, "", KeyReused),
+            (VerdictCode.KEY_USED, Outcome.UNKNOWN, OutcomeUnknown),
+            (VerdictCode.KEY_USED, Outcome.DONE, AnswerGone),
         ],
     )
     def test_says_what_is_known(self, code: str, outcome: str, error: type) -> None:
--- a/railtide/requests/tests/test_recovery.py
+++ b/railtide/requests/tests/test_recovery.py
@@ -3,7 +3,7 @@
 import trio
 
 from railtide.budgets.treasury import Epoch, Treasury
-from railtide.journal.entries import Code, Entry, Verdict, record_of
+from railtide.journal.entries import Entry, Verdict, VerdictCode, decode_record
 from railtide.journal.writer import Writer
 from railtide.lanes.scheduler import PoolScheduler
 from railtide.membership.instances import Instance
@@ -43,11 +43,11 @@
         return Epoch(self.writer)
 
     def _on_entry(self, entry: Entry, trace: str) -> None:
-        self.records.append(record_of(entry))
+        self.records.append(decode_record(entry))
         trio.lowlevel.spawn_system_task(self._decide, entry.seq)
 
     async def _decide(self, seq: int) -> None:
-        self.writer.apply_verdict(Verdict(seq, Code.OK, 0, fenced=self.fenced))
+        self.writer.apply_verdict(Verdict(seq, VerdictCode.OK, 0, fenced=self.fenced))
 
     async def past_run(self, upstream: Instance, request_id: str) -> PastRun:
         words = self.words[upstream.name]
--- a/railtide/router/router.py
+++ b/railtide/router/router.py
@@ -17,7 +17,7 @@
 from railtide.membership.errors import NoInstance
 from railtide.membership.identity import Identity, Role
 from railtide.membership.instances import Instance, InstanceState
-from railtide.membership.messages import Close, Heartbeat, Leaving, Open
+from railtide.membership.messages import CloseHolder, Heartbeat, Leaving, OpenHolder
 from railtide.requests.call import AnswerSink, Call, Prices
 from railtide.requests.cover import log_cover
 from railtide.requests.dispatcher import Dispatcher
@@ -145,7 +145,7 @@
         self.treasury.give_back_all()
         writer = self.treasury.epoch.writer
         writer.closed = True
-        closing = writer.submit(Close())
+        closing = writer.submit(CloseHolder())
         await closing.wait_at_most(self.options.address_ttl_s)
         logger.info("drained; {} requests left open", self.open_calls)
 
@@ -262,7 +262,7 @@
         self.uplink.add_writer(writer)
         epoch = Epoch(writer)
         self._epoch_by_holder[holder] = epoch
-        writer.submit(Open(who.instance, who.failure_domain, who.address, Role.ROUTER, since))
+        writer.submit(OpenHolder(who.instance, who.failure_domain, who.address, Role.ROUTER, since))
         return epoch
 
     # -- messages of the keeper ---------------------------------------------------------------
--- a/tests/matrix/checks.py
+++ b/tests/matrix/checks.py
@@ -6,7 +6,7 @@
 
 from railtide.budgets.balance import available, stranded
 from railtide.errors import Run
-from railtide.journal.entries import Code, batch_from_bytes
+from railtide.journal.entries import VerdictCode, batch_from_bytes
 from railtide.journal.fold import fold
 from railtide.journal.state import State
 from railtide.requests.dispatcher import AGAIN
@@ -35,7 +35,7 @@
     for record in world.log_records():
         entries = batch_from_bytes(record.data)
         for folded in fold(ledger.state, record.offset, record.stamp, entries):
-            if folded.verdict.code != Code.OK:
+            if folded.verdict.code != VerdictCode.OK:
                 continue
             if isinstance(folded.record, Intent):
                 ledger.account_by_request[folded.record.request_id] = folded.record.account
--- a/tests/matrix/ports.py
+++ b/tests/matrix/ports.py
@@ -11,7 +11,7 @@
 import trio
 
 from railtide.journal.client import LogClient, LogRecord, Page
-from railtide.journal.entries import batch_from_bytes, record_of
+from railtide.journal.entries import batch_from_bytes, decode_record
 from railtide.journal.errors import LogUnavailable
 from railtide.membership.errors import InstanceListUnavailable
 from railtide.membership.instances import Instance, InstanceList
@@ -101,7 +101,7 @@
     """Return the step and the instance of each entry in an append."""
     found = set()
     for entry in batch_from_bytes(data):
-        record = record_of(entry)
+        record = decode_record(entry)
         step = type(record).__name__.lower()
         if isinstance(record, Intent) and record.key:
             step = "claim"
--- a/tests/matrix/world.py
+++ b/tests/matrix/world.py
@@ -22,7 +22,7 @@
 from railtide.keeper.server import serve_link
 from railtide.membership.identity import Identity, Role
 from railtide.membership.instances import Instance, InstanceState
-from railtide.membership.messages import Open
+from railtide.membership.messages import OpenHolder
 from railtide.requests.call import AnswerSink, Call
 from railtide.requests.options import RequestOptions
 from railtide.router.options import RouterOptions
@@ -382,7 +382,7 @@
         self._keeper = world.keepers[keeper].keeper
         self.submissions: list[Submission] = []
         self._writer = Writer(f"operator/{keeper}/{Operator.numbers}", self._send)
-        self._submit(Open("operator", "", "", Role.OPERATOR, self._keeper.state.stamp))
+        self._submit(OpenHolder("operator", "", "", Role.OPERATOR, self._keeper.state.stamp))
 
     def _send(self, entry: Entry, traceparent: str) -> None:
         self._keeper.take_entry(self, entry)
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -104,7 +104,7 @@
         "late-claim-of-a-fenced-holder-counted",
         "journal/fold.py",
         "    if _is_ended(holder) and not record.exposed:\n"
-        "        return _say(state, entry, holder, Code.FENCED)\n"
+        "        return _say(state, entry, holder, VerdictCode.FENCED)\n"
         "    balance = state.by_account.get(record.account)",
         "    balance = state.by_account.get(record.account)",
         (FOLD,),
@@ -238,8 +238,8 @@
     Mutant(
         "settled-elsewhere-answered",
         "requests/cover.py",
-        "if verdict and verdict.code == Code.NOT_OPEN",
-        "if False and verdict.code == Code.NOT_OPEN",
+        "if verdict and verdict.code == VerdictCode.NOT_OPEN",
+        "if False and verdict.code == VerdictCode.NOT_OPEN",
         (SINGLE,),
     ),
     Mutant(
