--- a/railtide/journal/entries.py
+++ b/railtide/journal/entries.py
@@ -120,7 +120,7 @@
 
     Examples
     --------
-    >>> record_of(make_entry("a", 1, 0, Heartbeat()))
+    >>> decode_record(make_entry("a", 1, 0, Heartbeat()))
     Heartbeat()
     """
     try:
