--- a/railtide/budgets/ledger_partition.py
+++ b/railtide/budgets/ledger_partition.py
@@ -41,7 +41,7 @@
 from railtide.budgets.unread_reports import Report
 from railtide.journal.errors import EraRisen, LogUnavailable, RecordsExpired
 from railtide.journal.keyed import AppendConflict, KeyedPage, KeyedRecord, KeyedStore
-from railtide.journal.transfer import Transfer
+from railtide.journal.read_progress import ReadProgress
 
 __all__ = ["LedgerPartition"]
 
@@ -373,9 +373,11 @@
         records: list[KeyedRecord] = []
         start = self._end
         while True:
-            transfer = Transfer(self._leave_if_newest_are_less, on_silent=self._note_silent)
+            progress = ReadProgress(
+                self._leave_if_newest_are_less, on_unresponsive=self._note_silent
+            )
             page = await self._store.read(
-                self._options.topic, start, 0.0, self._index, transfer=transfer
+                self._options.topic, start, 0.0, self._index, progress=progress
             )
             records += page.records
             if page.next_offset >= page.end:
@@ -388,8 +390,8 @@
         """Record that the store is away, though a read of it goes on."""
         self._note_reachable(False, err.detail)
 
-    def _leave_if_newest_are_less(self, transfer: Transfer) -> None:
-        if transfer.end - self._end > max(1, len(self._known_by_account) * NEWEST_RATIO):
+    def _leave_if_newest_are_less(self, progress: ReadProgress) -> None:
+        if progress.end - self._end > max(1, len(self._known_by_account) * NEWEST_RATIO):
             raise _NewestAreLess
 
     def _take_records(self, records: Iterable[KeyedRecord], is_copy: bool) -> None:
--- a/railtide/budgets/tests/test_large_partition.py
+++ b/railtide/budgets/tests/test_large_partition.py
@@ -128,13 +128,13 @@
         super().__init__()
         self.bytes_read = 0
 
-    async def newest(self, topic: str, partition: int = 0, transfer=None) -> KeyedPage:
-        return await self._carry(await super().newest(topic, partition, transfer))
+    async def newest(self, topic: str, partition: int = 0, progress=None) -> KeyedPage:
+        return await self._carry(await super().newest(topic, partition, progress))
 
     async def read(
-        self, topic: str, start: int, wait_s: float, partition: int = 0, transfer=None
+        self, topic: str, start: int, wait_s: float, partition: int = 0, progress=None
     ) -> KeyedPage:
-        return await self._carry(await super().read(topic, start, wait_s, partition, transfer))
+        return await self._carry(await super().read(topic, start, wait_s, partition, progress))
 
     async def _carry(self, page: KeyedPage) -> KeyedPage:
         size = sum(len(record.value) for record in page.records)
--- a/railtide/budgets/tests/test_report_identity.py
+++ b/railtide/budgets/tests/test_report_identity.py
@@ -37,7 +37,7 @@
     treasury_with,
 )
 from railtide.journal.keyed import KeyedPage
-from railtide.journal.transfer import Transfer
+from railtide.journal.read_progress import ReadProgress
 from railtide.standins.keyed_store import MemoryStore
 
 OTHER_ACCOUNT = "b"
@@ -51,7 +51,7 @@
         self._store = store
 
     async def newest(
-        self, topic: str, partition: int = 0, transfer: Transfer | None = None
+        self, topic: str, partition: int = 0, progress: ReadProgress | None = None
     ) -> KeyedPage:
         """Return what the store returns."""
         await self._call(partition)
--- a/railtide/edge/freshness.py
+++ b/railtide/edge/freshness.py
@@ -135,7 +135,7 @@
         """Count an answer that the view was too old for; return when its caller may come back."""
         self._begin(version)
         self._answers += 1
-        left_s = self._feed.freshness.left_s()
+        left_s = self._feed.freshness.remaining_s()
         return SOON_S if left_s is None else min(left_s, self._most_retry_s)
 
     def look(self, version: int | None) -> None:
@@ -170,7 +170,7 @@
             self._feed.freshness.read_at if math.isfinite(self._feed.freshness.read_at) else now
         )
         self._answers = 0
-        left_s = self._feed.freshness.left_s()
+        left_s = self._feed.freshness.remaining_s()
         logger.bind(
             version=version,
             reason=self._doubt(),
--- a/railtide/edge/tests/rollback_fleet.py
+++ b/railtide/edge/tests/rollback_fleet.py
@@ -19,7 +19,7 @@
 from railtide.journal.eras import Eras
 from railtide.journal.errors import EraRisen, LogUnavailable
 from railtide.journal.keyed import KeyedPage, KeyedStore
-from railtide.journal.transfer import Transfer
+from railtide.journal.read_progress import ReadProgress
 from railtide.membership.roster import Member, Roster, RosterOptions
 from railtide.standins.keyed_store import MemoryStore
 from railtide.telemetry.counters import Counters
@@ -57,9 +57,9 @@
         self._eras.on_rise(listener)
 
     async def newest(
-        self, topic: str, partition: int = 0, transfer: Transfer | None = None
+        self, topic: str, partition: int = 0, progress: ReadProgress | None = None
     ) -> KeyedPage:
-        return await self._call(lambda: self._memory.newest(topic, partition, transfer))
+        return await self._call(lambda: self._memory.newest(topic, partition, progress))
 
     async def read(
         self,
@@ -67,10 +67,10 @@
         start: int,
         wait_s: float,
         partition: int = 0,
-        transfer: Transfer | None = None,
+        progress: ReadProgress | None = None,
     ) -> KeyedPage:
         return await self._call(
-            lambda: self._memory.read(topic, start, wait_s, partition, transfer)
+            lambda: self._memory.read(topic, start, wait_s, partition, progress)
         )
 
     async def append(
--- a/railtide/edge/tests/test_freshness.py
+++ b/railtide/edge/tests/test_freshness.py
@@ -16,7 +16,7 @@
 from railtide.journal.feed import Feed, FeedOptions
 from railtide.journal.freshness import Freshness
 from railtide.journal.keyed import KeyedPage, KeyedRecord
-from railtide.journal.transfer import Transfer
+from railtide.journal.read_progress import ReadProgress
 from railtide.operators.codes import all_codes
 from railtide.requests.errors import UnknownRoute
 from railtide.standins.keyed_store import MemoryStore
@@ -34,7 +34,7 @@
         self.read_at = trio.current_time()
         self.left: float | None = None
 
-    def left_s(self) -> float | None:
+    def remaining_s(self) -> float | None:
         """Return what the test set."""
         return self.left
 
@@ -154,14 +154,14 @@
         start: int,
         wait_s: float,
         partition: int = 0,
-        transfer: Transfer | None = None,
+        progress: ReadProgress | None = None,
     ) -> KeyedPage:
         """Return records, if at all; see `KeyedStore.read`."""
         with trio.move_on_after(wait_s + self.SILENT_S):
             page = await super().read(topic, start, wait_s, partition)
             if self.silent:
                 await trio.sleep_forever()
-            transfer.begin(page.end, None)
+            progress.begin(page.end, None)
             if self.keeps_back and page.records:
                 await trio.sleep(0.1)
                 return KeyedPage([], page.end, start)
--- a/railtide/edge/tests/test_store_away.py
+++ b/railtide/edge/tests/test_store_away.py
@@ -8,7 +8,7 @@
 from railtide.journal.errors import LogUnavailable
 from railtide.journal.feed import Feed, FeedOptions
 from railtide.journal.keyed import KeyedPage
-from railtide.journal.transfer import Transfer
+from railtide.journal.read_progress import ReadProgress
 from railtide.standins.keyed_store import MemoryStore
 
 
@@ -21,9 +21,9 @@
         start: int,
         wait_s: float,
         partition: int = 0,
-        transfer: Transfer | None = None,
+        progress: ReadProgress | None = None,
     ) -> KeyedPage:
-        page = await super().read(topic, start, wait_s, partition, transfer)
+        page = await super().read(topic, start, wait_s, partition, progress)
         if page.records:
             self.down = True
             raise LogUnavailable("nothing moved")
--- a/railtide/journal/feed.py
+++ b/railtide/journal/feed.py
@@ -15,7 +15,7 @@
 from railtide.journal.errors import EraRisen, JournalError, LogUnavailable, RecordsExpired
 from railtide.journal.freshness import Freshness
 from railtide.journal.keyed import AppendConflict, KeyedPage, KeyedRecord, KeyedStore
-from railtide.journal.transfer import Transfer
+from railtide.journal.read_progress import ReadProgress
 
 __all__ = ["Feed", "FeedOptions"]
 
@@ -199,9 +199,9 @@
         return True
 
     async def _read_newest(self) -> None:
-        transfer = Transfer(on_silent=self._note_lost)
-        self.freshness.watch(transfer)
-        page = await self._store.newest(self._topic, transfer=transfer)
+        progress = ReadProgress(on_unresponsive=self._note_lost)
+        self.freshness.watch(progress)
+        page = await self._store.newest(self._topic, progress=progress)
         self._note_reachable()
         self._note_era()
         self._keys = {record.key for record in page.records}
@@ -231,12 +231,12 @@
         while True:
             self._check_era()
             fresh = self._fresh
-            transfer = Transfer(self._note_begun, not self._may_leave, self._note_lost)
-            self.freshness.watch(transfer)
+            progress = ReadProgress(self._note_begun, not self._may_leave, self._note_lost)
+            self.freshness.watch(progress)
             wait_s = self._wait_s()
             with trio.CancelScope() as self._reading:
                 page = await self._store.read(
-                    self._topic, self.next_offset, wait_s, transfer=transfer
+                    self._topic, self.next_offset, wait_s, progress=progress
                 )
             if self._reading.cancelled_caught:
                 continue
@@ -270,20 +270,20 @@
         if page.next_offset >= page.end:
             self.freshness.note_complete()
 
-    def _note_begun(self, transfer: Transfer) -> None:
+    def _note_begun(self, progress: ReadProgress) -> None:
         """Record that an answer has begun; leave it if the newest records are less to read.
 
         After an outage, or while versions come faster than a link carries them, each version was
         read to its end though a newer one replaced it: two versions of 500 KB that waited took
         1.6 s of a link of 5 Mbit/s, and a series of one each 0.33 s was never caught up with.
         """
-        waiting = transfer.end - self.next_offset
+        waiting = progress.end - self.next_offset
         if waiting <= 0:
             return
         self.freshness.note_newer()
         if not self._options.newest_suffice:
             return
-        large = transfer.size is None or transfer.size > LARGE_BYTES
+        large = progress.size is None or progress.size > LARGE_BYTES
         known = len(self._keys)
         if large and known and waiting > max(1, known * ENCODED) and self._may_leave:
             self._left = True
--- a/railtide/journal/freshness.py
+++ b/railtide/journal/freshness.py
@@ -4,7 +4,7 @@
 
 import trio
 
-from railtide.journal.transfer import Transfer
+from railtide.journal.read_progress import ReadProgress
 
 __all__ = ["Freshness"]
 
@@ -23,18 +23,18 @@
     def __init__(self) -> None:
         self.read_at = -math.inf
         self.behind_since: float | None = None
-        self._transfer: Transfer | None = None
+        self._progress: ReadProgress | None = None
         self._answered_at: float | None = None
 
-    def watch(self, transfer: Transfer | None) -> None:
+    def watch(self, progress: ReadProgress | None) -> None:
         """Take the read that is under way now, None after its end."""
-        if self._transfer and self._transfer.began_at is not None:
-            self._answered_at = self._transfer.began_at
-        self._transfer = transfer
+        if self._progress and self._progress.began_at is not None:
+            self._answered_at = self._progress.began_at
+        self._progress = progress
 
     def is_reading(self) -> bool:
         """Return whether the answer of the read under way has begun."""
-        return self._transfer is not None and self._transfer.began_at is not None
+        return self._progress is not None and self._progress.began_at is not None
 
     def note_newer(self) -> None:
         """Record that there are records that are not taken yet."""
@@ -47,6 +47,6 @@
         self.read_at = trio.current_time() if answered_at is None else answered_at
         self.behind_since = None
 
-    def left_s(self) -> float | None:
+    def remaining_s(self) -> float | None:
         """Return about how many seconds the read under way still takes, None while unknown."""
-        return self._transfer.left_s() if self._transfer else None
+        return self._progress.remaining_s() if self._progress else None
--- a/railtide/journal/keyed.py
+++ b/railtide/journal/keyed.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 
 from railtide.journal.errors import JournalError
-from railtide.journal.transfer import Transfer
+from railtide.journal.read_progress import ReadProgress
 
 __all__ = ["AppendConflict", "KeyedPage", "KeyedRecord", "KeyedStore"]
 
@@ -78,12 +78,12 @@
 
     @abstractmethod
     async def newest(
-        self, topic: str, partition: int = 0, transfer: Transfer | None = None
+        self, topic: str, partition: int = 0, progress: ReadProgress | None = None
     ) -> KeyedPage:
         """Return the newest record of each key.
 
         The pages after it are no snapshot: the records from the page's `end` on are to be read
-        after it. `transfer` is told how far the answer has come.
+        after it. `progress` is told how far the answer has come.
 
         Raises
         ------
@@ -98,11 +98,11 @@
         start: int,
         wait_s: float,
         partition: int = 0,
-        transfer: Transfer | None = None,
+        progress: ReadProgress | None = None,
     ) -> KeyedPage:
         """Return records from `start` on, waiting up to `wait_s` seconds for the first.
 
-        Of an answer that breaks off, the records that came whole are returned. `transfer` is told
+        Of an answer that breaks off, the records that came whole are returned. `progress` is told
         where the partition ends once an answer begins, and how far it has come.
 
         Raises
--- a/railtide/journal/transfer.py
+++ b/railtide/journal/read_progress.py
@@ -6,10 +6,10 @@
 
 from railtide.journal.errors import LogUnavailable
 
-__all__ = ["Transfer"]
+__all__ = ["ReadProgress"]
 
 
-class Transfer:
+class ReadProgress:
     """The progress of one read.
 
     Parameters
@@ -19,7 +19,7 @@
         read.
     first_only : bool, optional
         Whether the read ends with the first record that has come whole.
-    on_silent : callable, optional
+    on_unresponsive : callable, optional
         Told why the store counts as silent while the read goes on.
 
     Attributes
@@ -36,38 +36,38 @@
 
     def __init__(
         self,
-        on_begun: Callable[["Transfer"], None] = lambda transfer: None,
+        on_begun: Callable[["ReadProgress"], None] = lambda progress: None,
         first_only: bool = False,
-        on_silent: Callable[[LogUnavailable], None] = lambda err: None,
+        on_unresponsive: Callable[[LogUnavailable], None] = lambda err: None,
     ) -> None:
-        self.note_silent = on_silent
+        self.note_unresponsive = on_unresponsive
         self.first_only = first_only
         self.end: int | None = None
         self.size: int | None = None
         self.received = 0
         self.began_at: float | None = None
-        self._came = 0
+        self._initial = 0
         self._on_begun = on_begun
 
-    def begin(self, end: int | None, size: int | None, came: int = 0) -> None:
+    def begin(self, end: int | None, size: int | None, initial: int = 0) -> None:
         """Take the beginning of an answer, or of its next page, and the bytes that came with it.
 
         These tell no rate: they had all the time before.
         """
         self.end = end
         self.size = size
-        self.received = came
-        self._came = came
+        self.received = initial
+        self._initial = initial
         self.began_at = trio.current_time()
         self._on_begun(self)
 
-    def move(self, count: int) -> None:
+    def add_received(self, count: int) -> None:
         """Record that some bytes more have come."""
         self.received += count
 
-    def left_s(self) -> float | None:
+    def remaining_s(self) -> float | None:
         """Return about how many seconds are left, None while too little is known."""
-        moved = self.received - self._came
+        moved = self.received - self._initial
         if self.began_at is None or not self.size or not moved:
             return None
         took_s = trio.current_time() - self.began_at
--- a/railtide/journal/patience.py
+++ b/railtide/journal/response_timeouts.py
@@ -4,7 +4,7 @@
 
 from railtide.http.stall import StallWatch
 
-__all__ = ["Patience"]
+__all__ = ["ResponseTimeouts"]
 
 GROWTH = 2.0
 TRIES = 2
@@ -16,7 +16,7 @@
 """Usual waits for which a store counts as heard after an answer: it may be slow by as much."""
 
 
-class Patience:
+class ResponseTimeouts:
     """The waits for the first byte of answers, by what is asked.
 
     A store that is slow, or that has a queue of large answers, begins each of them later than
@@ -42,14 +42,14 @@
     Examples
     --------
     >>> async def tries() -> list[float]:
-    ...     patience = Patience(1.0, 4.0)
-    ...     patience.note_sent(StallWatch(1.0, 1.0), head_s=1.0, held_s=0.0)
+    ...     timeouts = ResponseTimeouts(1.0, 4.0)
+    ...     timeouts.note_sent(StallWatch(1.0, 1.0), timeout_s=1.0, held_s=0.0)
     ...     waits = []
     ...     for _ in range(4):
-    ...         waits.append(patience.head_s("topic"))
-    ...         patience.note_silent("topic")
-    ...     patience.note_begun("topic")
-    ...     return [*waits, patience.head_s("topic")]
+    ...         waits.append(timeouts.timeout_s("topic"))
+    ...         timeouts.note_timeout("topic")
+    ...     timeouts.note_first_byte("topic")
+    ...     return [*waits, timeouts.timeout_s("topic")]
     >>> trio.run(tries)
     [1.0, 1.0, 2.0, 2.0, 1.0]
     """
@@ -63,7 +63,7 @@
         self._usual_by_watch: dict[StallWatch, float] = {}
         self._grown: set[StallWatch] = set()
 
-    def head_s(self, subject: str | None) -> float:
+    def timeout_s(self, subject: str | None) -> float:
         """Return how long the next answer on a subject may take to begin, seconds.
 
         Without a subject it is as usual.
@@ -74,20 +74,20 @@
         is_heard = trio.current_time() - self._heard_at <= HEARD * self._usual_s
         return grown if is_heard or not self._grown else self._usual_s
 
-    def note_sent(self, watch: StallWatch, head_s: float, held_s: float) -> None:
+    def note_sent(self, watch: StallWatch, timeout_s: float, held_s: float) -> None:
         """Record that a call is under way.
 
         Parameters
         ----------
         watch : StallWatch
             Of the call.
-        head_s : float
-            As `head_s` told for it.
+        timeout_s : float
+            As `timeout_s` told for it.
         held_s : float
             For how long the store was asked to hold its answer.
         """
         self._usual_by_watch[watch] = held_s + self._usual_s
-        if head_s > self._usual_s:
+        if timeout_s > self._usual_s:
             self._grown.add(watch)
 
     def note_ended(self, watch: StallWatch) -> None:
@@ -95,14 +95,14 @@
         self._usual_by_watch.pop(watch, None)
         self._grown.discard(watch)
 
-    def note_silent(self, subject: str | None) -> None:
+    def note_timeout(self, subject: str | None) -> None:
         """Record that an answer did not begin in time."""
         if subject is None:
             return
         known = self._silences_by_subject.get(subject, 0)
         self._silences_by_subject[subject] = min(known + 1, 32)
 
-    def note_begun(self, subject: str | None, took_s: float = 0.0) -> None:
+    def note_first_byte(self, subject: str | None, took_s: float = 0.0) -> None:
         """Record that an answer began so many seconds after its call.
 
         The next waits are as long as that one needed. With the usual wait again, a store that takes
--- a/railtide/journal/tests/test_feed.py
+++ b/railtide/journal/tests/test_feed.py
@@ -6,7 +6,7 @@
 
 from railtide.journal.feed import LARGE_BYTES, Feed, FeedOptions
 from railtide.journal.keyed import KeyedPage, KeyedRecord
-from railtide.journal.transfer import Transfer
+from railtide.journal.read_progress import ReadProgress
 from railtide.standins.keyed_store import MemoryStore
 
 
@@ -112,9 +112,9 @@
         start: int,
         wait_s: float,
         partition: int = 0,
-        transfer: Transfer | None = None,
+        progress: ReadProgress | None = None,
     ) -> KeyedPage:
-        page = await super().read(topic, start, wait_s, partition, transfer)
+        page = await super().read(topic, start, wait_s, partition, progress)
         if page.records:
             await trio.sleep(self.hold_s)
         self.values_read += len(page.records)
@@ -212,13 +212,13 @@
 
 class TestTransfer:
     async def test_the_rest_is_told_by_what_has_come(self, autojump_clock) -> None:
-        transfer = Transfer()
-        assert transfer.left_s() is None
-        transfer.begin(1, 1000)
-        assert transfer.left_s() is None
+        progress = ReadProgress()
+        assert progress.remaining_s() is None
+        progress.begin(1, 1000)
+        assert progress.remaining_s() is None
         await trio.sleep(2.0)
-        transfer.move(250)
-        assert transfer.left_s() == 6.0
+        progress.add_received(250)
+        assert progress.remaining_s() == 6.0
 
 
 class TestPause:
--- a/railtide/journal/tests/test_feed_bad_answers.py
+++ b/railtide/journal/tests/test_feed_bad_answers.py
@@ -7,7 +7,7 @@
 from railtide.journal.errors import RecordsExpired
 from railtide.journal.feed import Feed, FeedOptions
 from railtide.journal.keyed import AppendConflict, KeyedPage
-from railtide.journal.transfer import Transfer
+from railtide.journal.read_progress import ReadProgress
 from railtide.standins.keyed_store import MemoryStore
 
 
@@ -25,11 +25,11 @@
         start: int,
         wait_s: float,
         partition: int = 0,
-        transfer: Transfer | None = None,
+        progress: ReadProgress | None = None,
     ) -> KeyedPage:
         if self.had_part:
             self.waits_s.append(wait_s)
-        page = await super().read(topic, start, wait_s, partition, transfer)
+        page = await super().read(topic, start, wait_s, partition, progress)
         records = page.records[:1]
         self.had_part = self.had_part or len(records) < len(page.records)
         return KeyedPage(records, page.end, start + len(records))
@@ -60,7 +60,7 @@
         start: int,
         wait_s: float,
         partition: int = 0,
-        transfer: Transfer | None = None,
+        progress: ReadProgress | None = None,
     ) -> KeyedPage:
         await self._call(partition)
         raise RecordsExpired(start + 1)
@@ -90,11 +90,11 @@
         start: int,
         wait_s: float,
         partition: int = 0,
-        transfer: Transfer | None = None,
+        progress: ReadProgress | None = None,
     ) -> KeyedPage:
         await self._call(partition)
-        if transfer:
-            transfer.begin(start + 1, 16)
+        if progress:
+            progress.begin(start + 1, 16)
         return KeyedPage([], start + 1, start)
 
 
@@ -126,12 +126,12 @@
         start: int,
         wait_s: float,
         partition: int = 0,
-        transfer: Transfer | None = None,
+        progress: ReadProgress | None = None,
     ) -> KeyedPage:
         if self.wrong:
             self.wrong -= 1
             raise AppendConflict(0)
-        return await super().read(topic, start, wait_s, partition, transfer)
+        return await super().read(topic, start, wait_s, partition, progress)
 
 
 class TestWrongRefusal:
--- a/railtide/journal/tests/test_feed_freshness.py
+++ b/railtide/journal/tests/test_feed_freshness.py
@@ -5,7 +5,7 @@
 import trio
 
 from railtide.journal.feed import Feed, FeedOptions
-from railtide.journal.transfer import Transfer
+from railtide.journal.read_progress import ReadProgress
 from railtide.standins.keyed_store import MemoryStore
 
 
@@ -32,23 +32,23 @@
 
 class TestPages:
     async def test_rest_of_a_later_page_is_told_by_that_page(self, autojump_clock) -> None:
-        transfer = Transfer()
+        progress = ReadProgress()
         for _ in range(2):
-            transfer.begin(1, 1000)
+            progress.begin(1, 1000)
             await trio.sleep(2.0)
-            transfer.move(500)
-            assert transfer.left_s() == 2.0
+            progress.add_received(500)
+            assert progress.remaining_s() == 2.0
             await trio.sleep(2.0)
-            transfer.move(500)
+            progress.add_received(500)
 
 
 class TestFirstBytes:
     async def test_bytes_that_came_with_the_beginning_tell_no_rate(self, autojump_clock) -> None:
         """They had all the time before it; counted, a transfer of 3 s was told to take 0.8 s."""
-        transfer = Transfer()
-        transfer.begin(1, 1000, came=400)
+        progress = ReadProgress()
+        progress.begin(1, 1000, initial=400)
         await trio.sleep(0.01)
-        assert transfer.left_s() is None
+        assert progress.remaining_s() is None
         await trio.sleep(0.99)
-        transfer.move(100)
-        assert transfer.left_s() == 5.0
+        progress.add_received(100)
+        assert progress.remaining_s() == 5.0
--- a/railtide/journal/tests/test_silence_end.py
+++ b/railtide/journal/tests/test_silence_end.py
@@ -15,7 +15,7 @@
 from railtide.http.stall import StallWatch
 from railtide.journal.backoff import Backoff
 from railtide.journal.feed import BACKOFF_MOST_S, BACKOFF_S
-from railtide.journal.patience import Patience
+from railtide.journal.response_timeouts import ResponseTimeouts
 
 USUAL_S = 1.0
 MOST_S = 8.0
@@ -32,7 +32,7 @@
     def __init__(self, seed: int, most_s: float, beat_s: float) -> None:
         self._rng = Random(seed)
         self._beat_s = beat_s
-        self._patience = Patience(USUAL_S, most_s)
+        self._timeouts = ResponseTimeouts(USUAL_S, most_s)
         self._silent_at = 5.0 + 3.0 * self._rng.random()
         self.back_at = self._silent_at + SILENT_S
         self.heard_after_s: dict[str, float] = {}
@@ -53,9 +53,9 @@
 
     async def _call(self, who: str, subject: str, held_s: float = 0.0) -> bool:
         sent_at = trio.current_time()
-        head_s = self._patience.head_s(subject)
+        head_s = self._timeouts.timeout_s(subject)
         watch = StallWatch(held_s + head_s, USUAL_S)
-        self._patience.note_sent(watch, head_s, held_s)
+        self._timeouts.note_sent(watch, head_s, held_s)
         answered = False
         with suppress(Stalled):
             with watch:
@@ -65,11 +65,11 @@
                     await trio.sleep_forever()
                 await trio.sleep(ANSWER_S)
                 watch.note_received(1)
-                self._patience.note_begun(subject)
+                self._timeouts.note_first_byte(subject)
             answered = True
-        self._patience.note_ended(watch)
+        self._timeouts.note_ended(watch)
         if not answered:
-            self._patience.note_silent(subject)
+            self._timeouts.note_timeout(subject)
         elif sent_at >= self.back_at:
             self.heard_after_s.setdefault(who, trio.current_time() - self.back_at)
         return answered
--- a/railtide/platform/answers.py
+++ b/railtide/platform/answers.py
@@ -4,7 +4,7 @@
 
 from railtide.http.client import Exchange
 from railtide.http.messages import first_header
-from railtide.journal.transfer import Transfer
+from railtide.journal.read_progress import ReadProgress
 from railtide.platform.page import PageReader
 
 __all__ = ["OK", "FirstRecordCame", "PageAnswer", "StoreAnswer", "WholeAnswer", "era_told"]
@@ -28,7 +28,7 @@
 
     Parameters
     ----------
-    transfer : Transfer or None
+    progress : ReadProgress or None
         Told how far a good answer has come.
 
     Attributes
@@ -38,10 +38,10 @@
         Body of an answer that is not good.
     """
 
-    def __init__(self, transfer: Transfer | None) -> None:
+    def __init__(self, progress: ReadProgress | None) -> None:
         self.status = 0
         self.refusal = bytearray()
-        self._transfer = transfer or Transfer()
+        self._progress = progress or ReadProgress()
         self._size: int | None = None
         self._begun = False
         self._came = 0
@@ -60,9 +60,9 @@
         self._take(chunk)
         if not self._begun and self._is_end_known():
             self._begun = True
-            self._transfer.begin(self._end(), self._size, came=self._came + len(chunk))
+            self._progress.begin(self._end(), self._size, initial=self._came + len(chunk))
         elif self._begun:
-            self._transfer.move(len(chunk))
+            self._progress.add_received(len(chunk))
         else:
             self._came += len(chunk)
 
@@ -86,8 +86,8 @@
     body : bytearray
     """
 
-    def __init__(self, transfer: Transfer | None = None) -> None:
-        super().__init__(transfer)
+    def __init__(self, progress: ReadProgress | None = None) -> None:
+        super().__init__(progress)
         self.body = bytearray()
 
     def _take(self, chunk: bytes) -> None:
@@ -102,13 +102,13 @@
     reader : PageReader
     """
 
-    def __init__(self, start: int, transfer: Transfer | None = None) -> None:
-        super().__init__(transfer)
+    def __init__(self, start: int, progress: ReadProgress | None = None) -> None:
+        super().__init__(progress)
         self.reader = PageReader(start)
 
     def _take(self, chunk: bytes) -> None:
         self.reader.take(chunk)
-        if self._transfer.first_only and self.reader.has_records:
+        if self._progress.first_only and self.reader.has_records:
             raise FirstRecordCame
 
     def _is_end_known(self) -> bool:
--- a/railtide/platform/store.py
+++ b/railtide/platform/store.py
@@ -19,8 +19,8 @@
 from railtide.journal.errors import EraRisen, LogUnavailable, RecordsExpired
 from railtide.journal.hedge import Claim, hedged
 from railtide.journal.keyed import AppendConflict, KeyedPage, KeyedRecord, KeyedStore
-from railtide.journal.patience import Patience
-from railtide.journal.transfer import Transfer
+from railtide.journal.read_progress import ReadProgress
+from railtide.journal.response_timeouts import ResponseTimeouts
 from railtide.platform.answers import (
     OK,
     FirstRecordCame,
@@ -191,7 +191,7 @@
         self._pool = PeerPool(host, int(port))
         self._host = address.encode()
         self._counters = counters
-        self._patience = Patience(HEAD_S, MOST_HEAD_S)
+        self._timeouts = ResponseTimeouts(HEAD_S, MOST_HEAD_S)
         self._rng = Random(address)
         self._pages_by_topic: dict[tuple[str, int], _Pages] = {}
         self._told_unreadable: set[str] = set()
@@ -208,7 +208,7 @@
         self._eras.on_rise(listener)
 
     async def newest(
-        self, topic: str, partition: int = 0, transfer: Transfer | None = None
+        self, topic: str, partition: int = 0, progress: ReadProgress | None = None
     ) -> KeyedPage:
         """Return the newest records; see `KeyedStore.newest`.
 
@@ -218,7 +218,7 @@
         more = True
         while more:
             ask = _Ask(b"GET", "/log-newest", topic, partition, pages.after)
-            page = await self._next_page(ask, pages, transfer)
+            page = await self._next_page(ask, pages, progress)
             pages.add(page)
             more = page.has_more
             self._pages_by_topic[(topic, partition)] = pages
@@ -228,11 +228,11 @@
         ordered = sorted(pages.records, key=lambda record: record.offset)
         return KeyedPage(ordered, pages.end, pages.end, unreadable)
 
-    async def _next_page(self, ask: _Ask, pages: _Pages, transfer: Transfer | None) -> _Newest:
+    async def _next_page(self, ask: _Ask, pages: _Pages, progress: ReadProgress | None) -> _Newest:
         """Return a page; of one that breaks off the items that came whole are kept."""
-        answer = WholeAnswer(transfer)
+        answer = WholeAnswer(progress)
         try:
-            await self._stream_hedged(ask, answer, transfer)
+            await self._stream_hedged(ask, answer, progress)
         except EraRisen:
             raise
         except LogUnavailable:
@@ -254,14 +254,14 @@
         start: int,
         wait_s: float,
         partition: int = 0,
-        transfer: Transfer | None = None,
+        progress: ReadProgress | None = None,
     ) -> KeyedPage:
         """Return records; see `KeyedStore.read`."""
         ask = _Ask(b"GET", READ, topic, partition, start=start, held_s=wait_s)
-        answer = PageAnswer(start, transfer)
+        answer = PageAnswer(start, progress)
         reader = answer.reader
         try:
-            await self._stream_hedged(ask, answer, transfer)
+            await self._stream_hedged(ask, answer, progress)
         except FirstRecordCame:
             pass  # the page holds it
         except EraRisen:
@@ -310,7 +310,7 @@
         return bytes(answer.body)
 
     async def _stream_hedged(
-        self, ask: _Ask, answer: StoreAnswer, transfer: Transfer | None
+        self, ask: _Ask, answer: StoreAnswer, progress: ReadProgress | None
     ) -> None:
         """Make a call, and others beside it while it stays silent, if a reader follows it.
 
@@ -318,16 +318,16 @@
         one that takes 1.6 s an answer each try of 1.0 s was in vain, and a longer one was cut off
         0.1 s before its answer by the first word of another.
         """
-        if transfer is None:
+        if progress is None:
             await self._stream(ask, answer)
             return
 
         def note_silent(err: LogUnavailable | None) -> None:
             if err is None:
                 self._counters.add("store_calls_hedged")
-                self._patience.note_silent(ask.subject)
+                self._timeouts.note_timeout(ask.subject)
                 self._pool.drop_idle()
-            transfer.note_silent(err or LogUnavailable(f"{ask.call}: no answer yet"))
+            progress.note_unresponsive(err or LogUnavailable(f"{ask.call}: no answer yet"))
 
         async def first(claim: Claim) -> None:
             await self._stream(ask, answer, MOST_HEAD_S, claim)
@@ -351,11 +351,11 @@
         """
         self._counters.add("store_calls")
         self._counters.add("store_bytes_sent", len(ask.body))
-        head_s = self._patience.head_s(ask.subject)
+        head_s = self._timeouts.timeout_s(ask.subject)
         watch = StallWatch(ask.held_s + (longest_s or head_s), max(STALL_S, head_s))
         rises = self._eras.rises
         if longest_s is None:
-            self._patience.note_sent(watch, head_s, ask.held_s)
+            self._timeouts.note_sent(watch, head_s, ask.held_s)
         try:
             with watch:
                 await self._exchange(ask, answer, watch, rises, claim)
@@ -364,7 +364,7 @@
             self._eras.check(rises)
             raise LogUnavailable(f"{ask.call}: {err.code}, {err.detail}") from err
         finally:
-            self._patience.note_ended(watch)
+            self._timeouts.note_ended(watch)
         self._counters.add("store_bytes_received", watch.received)
         self._eras.check(rises)
         self._check(ask, answer)
@@ -375,7 +375,7 @@
         if isinstance(err, Stalled):
             self._pool.drop_idle()
             if watch.received < LEAST_BYTES:
-                self._patience.note_silent(ask.subject)
+                self._timeouts.note_timeout(ask.subject)
 
     async def _exchange(
         self, ask: _Ask, answer: StoreAnswer, watch: StallWatch, rises: int, claim: Claim
@@ -389,9 +389,9 @@
             answer.begin(exchange)
             took_s = max(0.0, watch.took_s - ask.held_s)
             async for chunk in exchange.chunks():
-                self._patience.note_begun(ask.subject, took_s)
+                self._timeouts.note_first_byte(ask.subject, took_s)
                 answer.take(chunk)
-            self._patience.note_begun(ask.subject, took_s)
+            self._timeouts.note_first_byte(ask.subject, took_s)
         finally:
             exchange.abandon()
 
--- a/railtide/platform/tests/test_eras.py
+++ b/railtide/platform/tests/test_eras.py
@@ -9,7 +9,7 @@
 from railtide.http.server import Responder
 from railtide.journal.errors import EraRisen, LogUnavailable, RecordsExpired
 from railtide.journal.keyed import AppendConflict
-from railtide.journal.transfer import Transfer
+from railtide.journal.read_progress import ReadProgress
 from railtide.platform.store import PlatformStore
 from railtide.platform.tests.test_store import client_of
 from railtide.standins.keyed_store import MemoryStore
@@ -167,13 +167,13 @@
         """What its reader is told of its beginning would be taken for the era that it asked in."""
         memory = MemoryStore(era=1)
         memory.put("t", "a", b"1")
-        begun: list[Transfer] = []
+        begun: list[ReadProgress] = []
         async with client_of(StoreServer(memory).handle) as store:
             await store.newest("t")
             memory.roll_back(memory.copy())
             for expected in (0, 1):
                 with nullcontext() if expected else pytest.raises(EraRisen):
-                    await store.read("t", 0, 0.0, transfer=Transfer(begun.append))
+                    await store.read("t", 0, 0.0, progress=ReadProgress(begun.append))
                 assert len(begun) == expected
 
     async def test_pages_of_a_broken_read_are_dropped(self) -> None:
--- a/railtide/platform/tests/test_outdated_view.py
+++ b/railtide/platform/tests/test_outdated_view.py
@@ -17,7 +17,7 @@
 from railtide.http.client import Exchange
 from railtide.http.messages import first_header
 from railtide.journal.keyed import KeyedPage
-from railtide.journal.transfer import Transfer
+from railtide.journal.read_progress import ReadProgress
 from railtide.platform.tests.test_large_desired_state import (
     LINK_BYTES_PER_S,
     NEW,
@@ -61,10 +61,10 @@
         start: int,
         wait_s: float,
         partition: int = 0,
-        transfer: Transfer | None = None,
+        progress: ReadProgress | None = None,
     ) -> KeyedPage:
         """Return records, none of the configuration while they are kept back."""
-        page = await super().read(topic, start, wait_s, partition, transfer)
+        page = await super().read(topic, start, wait_s, partition, progress)
         if topic == CONFIGURATION and self.keeps_back and page.records:
             await trio.sleep(KEPT_BACK_TICK_S)
             return KeyedPage([], page.end, start)
--- a/railtide/standins/keyed_store.py
+++ b/railtide/standins/keyed_store.py
@@ -7,7 +7,7 @@
 
 from railtide.journal.errors import EraRisen, LogUnavailable, RecordsExpired
 from railtide.journal.keyed import AppendConflict, KeyedPage, KeyedRecord, KeyedStore
-from railtide.journal.transfer import Transfer
+from railtide.journal.read_progress import ReadProgress
 
 __all__ = ["MemoryStore", "MemoryTopic"]
 
@@ -131,7 +131,7 @@
         self._wake(known)
 
     async def newest(
-        self, topic: str, partition: int = 0, transfer: Transfer | None = None
+        self, topic: str, partition: int = 0, progress: ReadProgress | None = None
     ) -> KeyedPage:
         """Return the newest records; see `KeyedStore.newest`."""
         await self._call(partition)
@@ -145,7 +145,7 @@
         start: int,
         wait_s: float,
         partition: int = 0,
-        transfer: Transfer | None = None,
+        progress: ReadProgress | None = None,
     ) -> KeyedPage:
         """Return records; see `KeyedStore.read`."""
         era = self.era
@@ -160,8 +160,8 @@
                 raise EraRisen("the store came back from a copy meanwhile")
             self._check_start(known, start)
         records = known.records[start - known.first :]
-        if transfer:
-            transfer.begin(known.end, sum(len(record.value) for record in records))
+        if progress:
+            progress.begin(known.end, sum(len(record.value) for record in records))
         return KeyedPage(records, known.end, known.end)
 
     def _check_start(self, known: MemoryTopic, start: int) -> None:
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -34,7 +34,7 @@
 LARGE = "railtide/platform/tests/test_large_desired_state.py"
 NARROW = "railtide/platform/tests/test_narrow_store.py"
 FEED = "railtide/journal/tests/test_feed.py"
-PATIENCE = "railtide/journal/tests/test_patience.py"
+PATIENCE = "railtide/journal/tests/test_response_timeouts.py"
 HEDGE = "railtide/journal/tests/test_hedge.py"
 STORE = "railtide/platform/tests/test_store.py"
 KEPT_PAGES = "railtide/platform/tests/test_kept_pages.py"
@@ -1539,7 +1539,7 @@
     ),
     Mutant(
         "store-that-is-heard-has-one-longer-wait",
-        "journal/patience.py",
+        "journal/response_timeouts.py",
         "return grown if is_heard or not self._grown else self._usual_s",
         "return grown if not self._grown else self._usual_s",
         (PATIENCE,),
@@ -1581,7 +1581,7 @@
     ),
     Mutant(
         "lost-answer-is-taken-for-a-slow-store",
-        "journal/patience.py",
+        "journal/response_timeouts.py",
         "TRIES = 2",
         "TRIES = 1",
         (PATIENCE,),
@@ -1644,14 +1644,14 @@
     ),
     Mutant(
         "late-answer-is-never-waited-for",
-        "journal/patience.py",
+        "journal/response_timeouts.py",
         "needed_s * GROWTH ** (silences // TRIES)",
         "needed_s",
         (PATIENCE,),
     ),
     Mutant(
         "slow-store-is-waited-for-as-usual",
-        "journal/patience.py",
+        "journal/response_timeouts.py",
         "max(self._usual_s, took_s * MARGIN)",
         "self._usual_s",
         (PATIENCE,),
@@ -1680,7 +1680,7 @@
     Mutant(
         "silent-store-counts-as-heard-while-a-call-waits",
         "platform/store.py",
-        'transfer.note_silent(err or LogUnavailable(f"{ask.call}: no answer yet"))',
+        'progress.note_unresponsive(err or LogUnavailable(f"{ask.call}: no answer yet"))',
         "pass",
         (f"{NARROW}::TestSilence",),
     ),
@@ -1737,34 +1737,34 @@
     Mutant(
         "silent-store-counts-as-heard-by-the-ledgers",
         "budgets/ledger_partition.py",
-        "Transfer(self._leave_if_newest_are_less, on_silent=self._note_silent)",
-        "Transfer(self._leave_if_newest_are_less)",
+        "                self._leave_if_newest_are_less, on_unresponsive=self._note_silent\n",
+        "                self._leave_if_newest_are_less\n",
         (f"{NARROW}::TestSilentLedgers",),
     ),
     Mutant(
         "wait-for-an-answer-grows-without-end",
-        "journal/patience.py",
+        "journal/response_timeouts.py",
         "min(self._most_s, needed_s * GROWTH ** (silences // TRIES))",
         "needed_s * GROWTH ** (silences // TRIES)",
         (PATIENCE,),
     ),
     Mutant(
         "wait-stays-long-behind-an-answer",
-        "journal/patience.py",
+        "journal/response_timeouts.py",
         "            self._silences_by_subject.pop(subject, None)\n",
         "",
         (PATIENCE,),
     ),
     Mutant(
         "call-of-before-a-return-keeps-its-long-wait",
-        "journal/patience.py",
+        "journal/response_timeouts.py",
         "                watch.hurry(usual_s + needed_s - self._usual_s)\n",
         "                pass\n",
         (PATIENCE, f"{NARROW}::TestSlowStore::{CALL_OF_BEFORE}"),
     ),
     Mutant(
         "held-read-is-given-up-behind-a-return",
-        "journal/patience.py",
+        "journal/response_timeouts.py",
         "watch.hurry(usual_s + needed_s - self._usual_s)",
         "watch.hurry(needed_s)",
         (PATIENCE,),
@@ -1876,22 +1876,22 @@
     ),
     Mutant(
         "bytes-of-an-earlier-page-count",
-        "journal/transfer.py",
-        "        self.received = came\n",
-        "        self.received += came\n",
+        "journal/read_progress.py",
+        "        self.received = initial\n",
+        "        self.received += initial\n",
         (FRESHNESS,),
     ),
     Mutant(
         "only-call-of-a-client-never-waits-longer",
-        "journal/patience.py",
+        "journal/response_timeouts.py",
         "return grown if is_heard or not self._grown else self._usual_s",
         "return grown if is_heard else self._usual_s",
         (f"{NARROW}::TestSlowStore", PATIENCE),
     ),
     Mutant(
         "calls-that-wait-longer-vouch-for-each-other",
-        "journal/patience.py",
-        "        if head_s > self._usual_s:\n            self._grown.add(watch)\n",
+        "journal/response_timeouts.py",
+        "        if timeout_s > self._usual_s:\n            self._grown.add(watch)\n",
         "",
         (PATIENCE,),
     ),
