--- a/railtide/budgets/ledger_partition.py
+++ b/railtide/budgets/ledger_partition.py
@@ -147,7 +147,7 @@
         self._asked = trio.Event()
         self._outages = Outages(self._options.horizon_s)
         self._horizon = Horizon(self._options.horizon_s, at=trio.current_time())
-        store.on_rise(self._note_rise)
+        store.on_era_rise(self._note_rise)
 
     def hand(self, account: str) -> AccountHand:
         """Return the hand of an account of this partition."""
--- a/railtide/containment/registry.py
+++ b/railtide/containment/registry.py
@@ -115,7 +115,7 @@
         self._shown: dict[str, Mark] = {}
         options = FeedOptions(wait_s=WAIT_S)
         self._feed = Feed(store, TOPIC, options, rng, self.take, self._compare)
-        store.on_rise(self._note_rise)
+        store.on_era_rise(self._note_rise)
         self._backoff = Backoff(BACKOFF_S, BACKOFF_MOST_S, rng)
 
     async def run(self) -> None:
--- a/railtide/edge/freshness.py
+++ b/railtide/edge/freshness.py
@@ -150,11 +150,11 @@
         return trio.current_time() - self._feed.freshness.read_at > self._wait_s + SLOW_ANSWER_S
 
     def _known_s(self) -> float:
-        since = self._feed.freshness.behind_since
+        since = self._feed.freshness.unread_since
         return 0.0 if since is None else trio.current_time() - since
 
     def _doubt(self) -> Doubt:
-        if self._feed.freshness.behind_since is not None:
+        if self._feed.freshness.unread_since is not None:
             return Doubt.NEWER_KNOWN
         if not self._feed.reachable:
             return Doubt.STORE_LOST
--- a/railtide/edge/node.py
+++ b/railtide/edge/node.py
@@ -143,12 +143,12 @@
         )
         self.schedulers_by_pool = self._pools.schedulers_by_pool
         self.take_notice = self._pools.take_notice
-        store.on_rise(self._pools.listed.note_rise)
-        store.on_rise(self._pools.drained.note_rise)
+        store.on_era_rise(self._pools.listed.note_rise)
+        store.on_era_rise(self._pools.drained.note_rise)
         self._configuration_feed = Feed(
             store,
             sources.configuration_topic,
-            FeedOptions(wait_s=options.configuration_wait_s, newest_suffice=True),
+            FeedOptions(wait_s=options.configuration_wait_s, skip_superseded=True),
             rng,
             self._take_configuration,
             self._keep_drains,
@@ -159,7 +159,7 @@
             options.address_ttl_s,
             lambda: self._configuration_feed.reachable or self._upstream_feed.reachable,
         )
-        store.on_rise(self._freshness.note_rise)
+        store.on_era_rise(self._freshness.note_rise)
         self._upstream_feed = Feed(
             store,
             sources.upstream_topic,
@@ -391,11 +391,11 @@
     def _lapse_until(self) -> float:
         """Return until when a removed record may have lapsed with the store away."""
         feed = self._upstream_feed
-        if not feed.caught_up or feed.back_at < feed.lost_at:
+        if not feed.caught_up or feed.restored_at < feed.lost_at:
             return trio.current_time() + RETURN_GRACE_S
-        if feed.lost_at == -float("inf") or trio.current_time() - feed.back_at > RECENT_LOSS_S:
+        if feed.lost_at == -float("inf") or trio.current_time() - feed.restored_at > RECENT_LOSS_S:
             return trio.current_time()
-        return feed.back_at + RETURN_GRACE_S
+        return feed.restored_at + RETURN_GRACE_S
 
     # -- upstreams that end -------------------------------------------------------------------
 
--- a/railtide/edge/tests/rollback_fleet.py
+++ b/railtide/edge/tests/rollback_fleet.py
@@ -16,7 +16,7 @@
 from railtide.budgets.spend_limit import Clocks, Reading
 from railtide.configuration.models import AccountSettings
 from railtide.edge.peers import RosterPeers
-from railtide.journal.eras import Eras
+from railtide.journal.eras import EraTracker
 from railtide.journal.errors import EraRisen, LogUnavailable
 from railtide.journal.keyed import KeyedPage, KeyedStore
 from railtide.journal.read_progress import ReadProgress
@@ -47,14 +47,14 @@
     def __init__(self, memory: MemoryStore) -> None:
         self.cut = False
         self._memory = memory
-        self._eras = Eras(Counters())
+        self._eras = EraTracker(Counters())
 
     @property
     def era(self) -> int | None:
         return self._eras.current
 
-    def on_rise(self, listener: Callable[[], None]) -> None:
-        self._eras.on_rise(listener)
+    def on_era_rise(self, listener: Callable[[], None]) -> None:
+        self._eras.on_era_rise(listener)
 
     async def newest(
         self, topic: str, partition: int = 0, progress: ReadProgress | None = None
@@ -97,8 +97,8 @@
         except Exception as err:
             error = err
         await self._check_way()
-        self._eras.take(str(self._memory.era))
-        self._eras.check(rises)
+        self._eras.accept(str(self._memory.era))
+        self._eras.check_unchanged(rises)
         if error:
             raise error
         return answer
--- a/railtide/edge/tests/test_freshness.py
+++ b/railtide/edge/tests/test_freshness.py
@@ -70,14 +70,14 @@
 
     async def test_is_not_current_while_newer_is_known_of(self, autojump_clock) -> None:
         feed, freshness = made()
-        feed.freshness.behind_since = trio.current_time()
+        feed.freshness.unread_since = trio.current_time()
         assert not freshness.is_current()
 
 
 class TestBehind:
     async def test_is_behind_once_newer_was_known_of_for_long(self, autojump_clock) -> None:
         feed, freshness = made()
-        feed.freshness.behind_since = trio.current_time()
+        feed.freshness.unread_since = trio.current_time()
         await trio.sleep(BEHIND_S - SLACK_S)
         assert not freshness.is_behind()
         await trio.sleep(2 * SLACK_S)
@@ -122,11 +122,11 @@
 
     async def test_short_one_without_a_refusal_says_nothing(self, lines, autojump_clock) -> None:
         feed, freshness = made()
-        feed.freshness.behind_since = trio.current_time()
+        feed.freshness.unread_since = trio.current_time()
         for _ in range(9):
             freshness.look(1)
             await trio.sleep(BEHIND_S / 10)
-        feed.freshness.behind_since = None
+        feed.freshness.unread_since = None
         feed.freshness.read_at = trio.current_time()
         freshness.look(2)
         assert lines == []
--- a/railtide/journal/eras.py
+++ b/railtide/journal/eras.py
@@ -12,7 +12,7 @@
 from railtide.journal.errors import EraRisen, LogUnavailable
 from railtide.telemetry.counters import Counters
 
-__all__ = ["MOST_TOLD", "Eras"]
+__all__ = ["MOST_TOLD", "EraTracker"]
 
 NUMBER = re.compile(r"[0-9]{1,18}", re.ASCII)
 """An era: below 2^63, as the store's other numbers."""
@@ -22,7 +22,7 @@
 """Of an unreadable value in a line."""
 
 
-class Eras:
+class EraTracker:
     """What one process was told of the eras of its store.
 
     Parameters
@@ -34,14 +34,14 @@
     current : int or None
         The highest era told; None for a store that tells none.
     rises : int
-        How often it has risen. A call notes it when it is sent, see `check`.
+        How often it has risen. A call notes it when it is sent, see `check_unchanged`.
 
     Examples
     --------
-    >>> eras = Eras(Counters())
+    >>> eras = EraTracker(Counters())
     >>> since = eras.rises
-    >>> eras.take("1")
-    >>> eras.check(since)
+    >>> eras.accept("1")
+    >>> eras.check_unchanged(since)
     >>> eras.current
     1
     """
@@ -53,11 +53,11 @@
         self._listeners: list[Callable[[], None]] = []
         self._told: set[str | None] = set()
 
-    def on_rise(self, listener: Callable[[], None]) -> None:
+    def on_era_rise(self, listener: Callable[[], None]) -> None:
         """Have a listener told of each rise, once `current` is the new era."""
         self._listeners.append(listener)
 
-    def take(self, told: str | None) -> None:
+    def accept(self, told: str | None) -> None:
         """Take what an answer tells, before anything else of it; None where it tells nothing.
 
         Raises
@@ -72,7 +72,7 @@
         else:
             self._take_number(int(told))
 
-    def check(self, rises: int) -> None:
+    def check_unchanged(self, rises: int) -> None:
         """Refuse the answer of a call that was sent when `rises` was as given.
 
         Raises
--- a/railtide/journal/feed.py
+++ b/railtide/journal/feed.py
@@ -49,7 +49,7 @@
         How long a read waits for a record. It bounds how late a silent store is noticed.
     pause_s : float
         Least time between two reads, so that a busy topic costs a bounded number of calls.
-    newest_suffice : bool
+    skip_superseded : bool
         Whether a record is of no use once there is a newer one of its key, and a key that is
         missing says nothing. Where a removal, or the last word before it, tells something, each
         record is read.
@@ -57,7 +57,7 @@
 
     wait_s: float = 2.0
     pause_s: float = 0.0
-    newest_suffice: bool = False
+    skip_superseded: bool = False
 
 
 class Feed:
@@ -82,7 +82,7 @@
         Whether the last call was answered.
     caught_up : bool
         Whether the topic was read to its end once.
-    lost_at, back_at : float
+    lost_at, restored_at : float
         Trio time of the latest loss of the store, and of its latest return. A store that came back
         older counts as lost and back: what is missing from it may come again.
     freshness : Freshness
@@ -101,7 +101,7 @@
         self.reachable = False
         self.caught_up = False
         self.lost_at = -float("inf")
-        self.back_at = -float("inf")
+        self.restored_at = -float("inf")
         self.next_offset = 0
         self.freshness = Freshness()
         self._era: int | None = None
@@ -120,7 +120,7 @@
         self._told_lost_at = -float("inf")
         self._reading: trio.CancelScope | None = None
         self._fresh: trio.Event | None = None
-        store.on_rise(self._give_up_reading)
+        store.on_era_rise(self._give_up_reading)
 
     def refresh(self) -> trio.Event:
         """Read what is there now, on a new connection, and return an event set once it is taken.
@@ -141,7 +141,7 @@
     def is_current(self) -> bool:
         """Return whether all that the store has told of is taken, and the store is heard."""
         heard = self.caught_up and self.reachable and self._fresh is None
-        return heard and self.freshness.behind_since is None
+        return heard and self.freshness.unread_since is None
 
     async def run(self) -> None:
         """Follow for ever."""
@@ -219,7 +219,7 @@
         self._era = self._store.era
         if self._is_former:
             self._is_former = False
-            self.back_at = trio.current_time()
+            self.restored_at = trio.current_time()
 
     async def _follow(self) -> None:
         """Read on for ever.
@@ -281,7 +281,7 @@
         if waiting <= 0:
             return
         self.freshness.note_newer()
-        if not self._options.newest_suffice:
+        if not self._options.skip_superseded:
             return
         large = progress.size is None or progress.size > LARGE_BYTES
         known = len(self._keys)
@@ -303,14 +303,14 @@
         noticed up to 2.3 s late where no record came (an upstream was sent work for so much longer
         than it may be).
         """
-        is_due = self._fresh is not None or self.freshness.behind_since is not None
+        is_due = self._fresh is not None or self.freshness.unread_since is not None
         return self._options.wait_s if self.reachable and not is_due else 0.0
 
     def _note_reachable(self) -> None:
         self._backoff.reset()
         if not self.reachable:
             self.reachable = True
-            self.back_at = trio.current_time()
+            self.restored_at = trio.current_time()
             logger.bind(topic=self._topic, offset=self.next_offset).info("store-reached")
 
     def _note_lost(self, err: JournalError) -> None:
--- a/railtide/journal/freshness.py
+++ b/railtide/journal/freshness.py
@@ -16,13 +16,13 @@
     ----------
     read_at : float
         Trio time of the store's answer to the newest read that came to the topic's end.
-    behind_since : float or None
+    unread_since : float or None
         Trio time since which a record is known of that was not taken yet.
     """
 
     def __init__(self) -> None:
         self.read_at = -math.inf
-        self.behind_since: float | None = None
+        self.unread_since: float | None = None
         self._progress: ReadProgress | None = None
         self._answered_at: float | None = None
 
@@ -38,14 +38,14 @@
 
     def note_newer(self) -> None:
         """Record that there are records that are not taken yet."""
-        if self.behind_since is None:
-            self.behind_since = trio.current_time()
+        if self.unread_since is None:
+            self.unread_since = trio.current_time()
 
     def note_complete(self) -> None:
         """Record that the read that has ended came to the topic's end, and was taken."""
         answered_at = self._answered_at
         self.read_at = trio.current_time() if answered_at is None else answered_at
-        self.behind_since = None
+        self.unread_since = None
 
     def remaining_s(self) -> float | None:
         """Return about how many seconds the read under way still takes, None while unknown."""
--- a/railtide/journal/keyed.py
+++ b/railtide/journal/keyed.py
@@ -73,7 +73,7 @@
         """The era of the newest answer; None for a store that tells none, and before the first."""
         return None
 
-    def on_rise(self, listener: Callable[[], None]) -> None:  # noqa: B027 - not each has eras
+    def on_era_rise(self, listener: Callable[[], None]) -> None:  # noqa: B027 - not each has eras
         """Have a listener told of each rise of the era; without eras there is none."""
 
     @abstractmethod
--- a/railtide/journal/tests/test_feed.py
+++ b/railtide/journal/tests/test_feed.py
@@ -14,11 +14,11 @@
     """A feed whose records are kept."""
 
     def __init__(
-        self, store: MemoryStore, wait_s: float = 1.0, newest_suffice: bool = True
+        self, store: MemoryStore, wait_s: float = 1.0, skip_superseded: bool = True
     ) -> None:
         self.seen: list[tuple[str, bytes]] = []
         self.listed: list[set[str]] = []
-        options = FeedOptions(wait_s=wait_s, newest_suffice=newest_suffice)
+        options = FeedOptions(wait_s=wait_s, skip_superseded=skip_superseded)
         self.feed = Feed(store, "t", options, Random(1), self._take, self.listed.append)
 
     def _take(self, records: list[KeyedRecord]) -> None:
@@ -52,7 +52,7 @@
             store.down = False
             await trio.sleep(2)
             assert case.seen == [("a", b"1")]
-            assert case.feed.reachable and case.feed.back_at > case.feed.lost_at
+            assert case.feed.reachable and case.feed.restored_at > case.feed.lost_at
             nursery.cancel_scope.cancel()
 
     async def test_forgotten_history_is_replaced_by_the_newest(self, autojump_clock) -> None:
@@ -91,7 +91,7 @@
             store.down = False
             await trio.sleep(3)
             assert case.feed.reachable
-            assert case.feed.back_at - returned_at < 1.0
+            assert case.feed.restored_at - returned_at < 1.0
             nursery.cancel_scope.cancel()
 
 
@@ -172,7 +172,7 @@
             store.down = True
             await trio.sleep(3)
             assert not case.feed.is_current()
-            assert case.feed.freshness.behind_since is None
+            assert case.feed.freshness.unread_since is None
             nursery.cancel_scope.cancel()
 
     async def test_it_is_behind_from_the_begin_of_an_answer_to_its_end(
@@ -188,10 +188,10 @@
             put_at = trio.current_time()
             await trio.sleep(1.0)
             assert not case.feed.is_current()
-            assert case.feed.freshness.behind_since == put_at
+            assert case.feed.freshness.unread_since == put_at
             await trio.sleep(4.0)
             assert case.feed.is_current()
-            assert case.feed.freshness.behind_since is None
+            assert case.feed.freshness.unread_since is None
             assert case.feed.freshness.read_at >= put_at
             nursery.cancel_scope.cancel()
 
--- a/railtide/journal/tests/test_feed_eras.py
+++ b/railtide/journal/tests/test_feed_eras.py
@@ -67,9 +67,9 @@
             store.roll_back(store.copy())
             risen_at = trio.current_time()
             await trio.sleep(0.2)
-            assert case.feed.lost_at == risen_at > case.feed.back_at
+            assert case.feed.lost_at == risen_at > case.feed.restored_at
             await trio.sleep(2.0)
-            assert risen_at < case.feed.back_at <= risen_at + 1.0
+            assert risen_at < case.feed.restored_at <= risen_at + 1.0
             assert case.feed.reachable
             nursery.cancel_scope.cancel()
 
@@ -91,7 +91,7 @@
             store.put("t", "b", b"1")
             await trio.sleep(2.0)
             assert case.seen[-1] == ("b", b"1")
-            assert case.feed.lost_at == lost_at < case.feed.back_at
+            assert case.feed.lost_at == lost_at < case.feed.restored_at
             nursery.cancel_scope.cancel()
 
     async def test_two_rises_in_a_row(self, autojump_clock) -> None:
--- a/railtide/membership/roster.py
+++ b/railtide/membership/roster.py
@@ -201,7 +201,7 @@
         self._said_behind = False
         self._copy_until = -math.inf
         self._risen = trio.Event()
-        store.on_rise(self._note_rise)
+        store.on_era_rise(self._note_rise)
 
     async def run(self, is_ready: Callable[[], bool]) -> None:
         """Announce this router from when it is ready, and follow the others, for ever."""
@@ -315,7 +315,9 @@
 
     def _is_backlog(self, now: float) -> bool:
         """Return whether records that are read now may have been written long ago."""
-        is_back = self._feed.reachable and now - self._feed.back_at >= self._options.dead_after_s
+        is_back = (
+            self._feed.reachable and now - self._feed.restored_at >= self._options.dead_after_s
+        )
         return not is_back or not self._feed.caught_up
 
     @property
@@ -467,7 +469,7 @@
     def _silence_began(self) -> float:
         """Return now, or the time at which the store was lost: silence counts up to there."""
         if self._feed.reachable:
-            returned = trio.current_time() - self._feed.back_at
+            returned = trio.current_time() - self._feed.restored_at
             if returned < self._options.dead_after_s:
                 return self._feed.lost_at
             return trio.current_time()
--- a/railtide/membership/tests/test_newest_for_backlog.py
+++ b/railtide/membership/tests/test_newest_for_backlog.py
@@ -102,12 +102,12 @@
     def _lapse_until(self) -> float:
         """As in `EdgeNode._lapse_until`."""
         feed = self.feed
-        if not feed.caught_up or feed.back_at < feed.lost_at:
+        if not feed.caught_up or feed.restored_at < feed.lost_at:
             return trio.current_time() + RETURN_GRACE_S
-        lost_lately = trio.current_time() - feed.back_at <= RECENT_LOSS_S
+        lost_lately = trio.current_time() - feed.restored_at <= RECENT_LOSS_S
         if feed.lost_at == -float("inf") or not lost_lately:
             return trio.current_time()
-        return feed.back_at + RETURN_GRACE_S
+        return feed.restored_at + RETURN_GRACE_S
 
     async def run(self) -> None:
         async with trio.open_nursery() as nursery:
--- a/railtide/platform/store.py
+++ b/railtide/platform/store.py
@@ -15,7 +15,7 @@
 from railtide.http.messages import HttpRequest
 from railtide.http.stall import LEAST_BYTES, StallWatch
 from railtide.journal.backoff import Backoff
-from railtide.journal.eras import Eras
+from railtide.journal.eras import EraTracker
 from railtide.journal.errors import EraRisen, LogUnavailable, RecordsExpired
 from railtide.journal.hedge import Claim, hedged
 from railtide.journal.keyed import AppendConflict, KeyedPage, KeyedRecord, KeyedStore
@@ -174,7 +174,7 @@
 class PlatformStore(KeyedStore):
     """Keyed topics of the platform's store.
 
-    Each answer's era is taken before anything else of it; see `Eras`.
+    Each answer's era is taken before anything else of it; see `EraTracker`.
 
     A call is bounded by silence and never as a whole: see `StallWatch`.
 
@@ -195,17 +195,17 @@
         self._rng = Random(address)
         self._pages_by_topic: dict[tuple[str, int], _Pages] = {}
         self._told_unreadable: set[str] = set()
-        self._eras = Eras(counters)
-        self._eras.on_rise(self._pages_by_topic.clear)
+        self._eras = EraTracker(counters)
+        self._eras.on_era_rise(self._pages_by_topic.clear)
 
     @property
     def era(self) -> int | None:
         """The era of the newest answer; see `KeyedStore.era`."""
         return self._eras.current
 
-    def on_rise(self, listener: Callable[[], None]) -> None:
-        """Have a listener told; see `KeyedStore.on_rise`."""
-        self._eras.on_rise(listener)
+    def on_era_rise(self, listener: Callable[[], None]) -> None:
+        """Have a listener told; see `KeyedStore.on_era_rise`."""
+        self._eras.on_era_rise(listener)
 
     async def newest(
         self, topic: str, partition: int = 0, progress: ReadProgress | None = None
@@ -361,12 +361,12 @@
                 await self._exchange(ask, answer, watch, rises, claim)
         except HttpError as err:
             self._note_unanswered(ask, watch, err)
-            self._eras.check(rises)
+            self._eras.check_unchanged(rises)
             raise LogUnavailable(f"{ask.call}: {err.code}, {err.detail}") from err
         finally:
             self._timeouts.note_ended(watch)
         self._counters.add("store_bytes_received", watch.received)
-        self._eras.check(rises)
+        self._eras.check_unchanged(rises)
         self._check(ask, answer)
 
     def _note_unanswered(self, ask: _Ask, watch: StallWatch, err: HttpError) -> None:
@@ -383,8 +383,8 @@
         request = HttpRequest(ask.method, ask.target, ((b"host", self._host),), ask.body)
         exchange = await self._pool.send(request, watch)
         try:
-            self._eras.take(era_told(exchange))
-            self._eras.check(rises)
+            self._eras.accept(era_told(exchange))
+            self._eras.check_unchanged(rises)
             claim()
             answer.begin(exchange)
             took_s = max(0.0, watch.took_s - ask.held_s)
--- a/railtide/platform/tests/test_eras.py
+++ b/railtide/platform/tests/test_eras.py
@@ -53,7 +53,7 @@
         memory = MemoryStore(era=1)
         told: list[int | None] = []
         async with client_of(StoreServer(memory).handle) as store:
-            store.on_rise(lambda: told.append(store.era))
+            store.on_era_rise(lambda: told.append(store.era))
             await store.newest("t")
             memory.roll_back(memory.copy())
             with pytest.raises(EraRisen):
@@ -233,7 +233,7 @@
         memory = MemoryStore()
         rises: list[int | None] = []
         async with client_of(Told(memory, "1", "2", "1", "2", "1", "2").handle) as store:
-            store.on_rise(lambda: rises.append(store.era))
+            store.on_era_rise(lambda: rises.append(store.era))
             outcomes = [await self._outcome(store) for _ in range(6)]
         assert outcomes == ["", "EraRisen", "LogUnavailable", "", "LogUnavailable", ""]
         assert rises == [2]
--- a/railtide/platform/tests/test_kept_pages.py
+++ b/railtide/platform/tests/test_kept_pages.py
@@ -94,7 +94,7 @@
         self.feed = Feed(
             client,
             "keyed.t",
-            FeedOptions(newest_suffice=True),
+            FeedOptions(skip_superseded=True),
             Random(1),
             self._take,
             self.keys_told.append,
--- a/railtide/platform/tests/test_narrow_store.py
+++ b/railtide/platform/tests/test_narrow_store.py
@@ -43,7 +43,7 @@
         self.records: list[KeyedRecord] = []
         self.counters = counters
         self.feed = Feed(
-            self.client, TOPIC, FeedOptions(newest_suffice=True), Random(1), self.records.extend
+            self.client, TOPIC, FeedOptions(skip_superseded=True), Random(1), self.records.extend
         )
 
     @property
--- a/railtide/standins/keyed_store.py
+++ b/railtide/standins/keyed_store.py
@@ -98,8 +98,8 @@
         self._late: list[tuple[str, int, dict[str, bytes], int | None]] = []
         self._listeners: list[Callable[[], None]] = []
 
-    def on_rise(self, listener: Callable[[], None]) -> None:
-        """Have a listener told; see `KeyedStore.on_rise`."""
+    def on_era_rise(self, listener: Callable[[], None]) -> None:
+        """Have a listener told; see `KeyedStore.on_era_rise`."""
         self._listeners.append(listener)
 
     def copy(self) -> Copy:
--- a/railtide/standins/tests/test_rollback.py
+++ b/railtide/standins/tests/test_rollback.py
@@ -82,7 +82,7 @@
     async def test_listeners_are_told(self) -> None:
         store = MemoryStore(era=1)
         told: list[int | None] = []
-        store.on_rise(lambda: told.append(store.era))
+        store.on_era_rise(lambda: told.append(store.era))
         store.roll_back(store.copy())
         store.roll_back(store.copy())
         assert told == [2, 3]
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -1617,7 +1617,7 @@
     Mutant(
         "rest-of-an-answer-is-waited-for",
         "journal/feed.py",
-        "is_due = self._fresh is not None or self.freshness.behind_since is not None",
+        "is_due = self._fresh is not None or self.freshness.unread_since is not None",
         "is_due = self._fresh is not None",
         ("railtide/journal/tests/test_feed_bad_answers.py",),
     ),
@@ -1631,7 +1631,7 @@
     Mutant(
         "newest-in-place-of-events",
         "journal/feed.py",
-        "if not self._options.newest_suffice:",
+        "if not self._options.skip_superseded:",
         "if False:",
         ("railtide/membership/tests/test_newest_for_backlog.py",),
     ),
@@ -1821,7 +1821,7 @@
     Mutant(
         "feed-is-current-with-a-version-under-way",
         "journal/feed.py",
-        "return heard and self.freshness.behind_since is None",
+        "return heard and self.freshness.unread_since is None",
         "return heard",
         (FEED,),
     ),
@@ -1941,8 +1941,9 @@
     Mutant(
         "answer-of-the-next-era-counts",
         "platform/store.py",
-        "            self._eras.take(era_told(exchange))\n            self._eras.check(rises)\n",
-        "            self._eras.take(era_told(exchange))\n",
+        "            self._eras.accept(era_told(exchange))\n"
+        "            self._eras.check_unchanged(rises)\n",
+        "            self._eras.accept(era_told(exchange))\n",
         (STORE_ERAS,),
     ),
     Mutant(
@@ -1956,7 +1957,7 @@
     Mutant(
         "pages-of-a-former-era-are-kept",
         "platform/store.py",
-        "        self._eras.on_rise(self._pages_by_topic.clear)\n",
+        "        self._eras.on_era_rise(self._pages_by_topic.clear)\n",
         "",
         (STORE_ERAS,),
     ),
@@ -1984,7 +1985,7 @@
     Mutant(
         "rise-is-no-return-of-the-store",
         "journal/feed.py",
-        "            self._is_former = False\n            self.back_at = trio.current_time()\n",
+        "            self._is_former = False\n            self.restored_at = trio.current_time()\n",
         "            self._is_former = False\n",
         (FEED_ERAS,),
     ),
@@ -2225,7 +2226,7 @@
     Mutant(
         "refusals-are-final-on-a-copy",
         "edge/node.py",
-        "        store.on_rise(self._freshness.note_rise)\n",
+        "        store.on_era_rise(self._freshness.note_rise)\n",
         "",
         (ROLLBACK,),
     ),
