--- a/bench/transfers.py
+++ b/bench/transfers.py
@@ -17,10 +17,10 @@
 from railtide.containment.records import record_key, record_value
 from railtide.journal.entries import batch_to_bytes, make_entry
 from railtide.journal.keyed import KeyedRecord
-from railtide.membership.addresses import Entrance
-from railtide.membership.entrance_set import Candidate, EntranceSetOptions, chosen_entrances
+from railtide.membership.addresses import RouterEndpoint
 from railtide.membership.instances import Instance
 from railtide.membership.roster import Member
+from railtide.membership.router_selection import Candidate, SelectionOptions, select_routers
 from railtide.platform.desired_state import PlatformSources
 from railtide.requests.messages import Answer, Bill
 from railtide.wire.codec import message_from_bytes, message_to_bytes
@@ -228,7 +228,7 @@
     state_now, state = state_record(ROUTES_NOW, 24), state_record(ROUTES_NOW, BUDGETS)
     marks = [Mark(f"{n:032x}", f"{n % 500:016x}", 1e9 + n % 500, ran_s=0.1) for n in range(4_096)]
     candidates = [
-        Candidate(Entrance(f"edge-{n:04}", "10.0.0.1:80", f"zone-{n % 23}"), 200.0, 79.0)
+        Candidate(RouterEndpoint(f"edge-{n:04}", "10.0.0.1:80", f"zone-{n % 23}"), 200.0, 79.0)
         for n in range(NODES)
     ]
     members = message_to_bytes(MembersMessage([instance(n) for n in range(NODES + ENGINES)]))
@@ -237,7 +237,7 @@
         "desired state of 1,880 routes": lambda: sources.snapshot_of(state_now),
         "desired state of 1,880 routes and 310,000 tenants": lambda: sources.snapshot_of(state),
         "blame of 4,096 marks of 500 lives": lambda: blamed(marks),
-        "choice among 1,100 routers": lambda: chosen_entrances(candidates, EntranceSetOptions()),
+        "choice among 1,100 routers": lambda: select_routers(candidates, SelectionOptions()),
         "list of 11,100 members": lambda: message_from_bytes(members),
         "467 ledgers with 8 holders": lambda: [ledger_from_bytes(few) for _ in range(467)],
     }
--- a/railtide/edge/node.py
+++ b/railtide/edge/node.py
@@ -26,7 +26,7 @@
 from railtide.errors import RailtideError
 from railtide.journal.feed import Feed, FeedOptions
 from railtide.journal.keyed import KeyedRecord, KeyedStore
-from railtide.membership.addresses import Entrance, rendezvous_order
+from railtide.membership.addresses import RouterEndpoint, rendezvous_order
 from railtide.membership.identity import Identity
 from railtide.membership.instances import Instance
 from railtide.membership.roster import Member, Roster
@@ -336,11 +336,11 @@
         finally:
             self.open_calls -= 1
 
-    def addresses(self, failure_domain: str) -> list[Entrance]:
+    def addresses(self, failure_domain: str) -> list[RouterEndpoint]:
         """Return the routers that a caller may use, those of its failure domain first."""
         named = list(self.roster.named())
         self._rng.shuffle(named)
-        named.sort(key=lambda entrance: entrance.failure_domain != failure_domain)
+        named.sort(key=lambda endpoint: endpoint.failure_domain != failure_domain)
         return named[: self.options.most_addresses]
 
     # -- what the store says ------------------------------------------------------------------
@@ -410,7 +410,7 @@
     # -- what the parts ask -------------------------------------------------------------------
 
     def _named_routers(self) -> list[str]:
-        return [entrance.name for entrance in self.roster.named()]
+        return [endpoint.name for endpoint in self.roster.named()]
 
     def _sharing_routers(self) -> int:
         """Return how many routers keep budgets in hand, 0 if this one is not to."""
--- a/railtide/edge/pools.py
+++ b/railtide/edge/pools.py
@@ -65,9 +65,9 @@
         self._on_listed = on_listed
         self._slow_start_by_pool: dict[str, SlowStart] = {}
         self._slow_start_shares = SlowStartShares(
-            own, lambda: [entrance.name for entrance in roster.named()]
+            own, lambda: [endpoint.name for endpoint in roster.named()]
         )
-        self._limit_shares = LimitShares(own, roster.visits)
+        self._limit_shares = LimitShares(own, roster.traffic)
         roster.on_limits = self.take_limit_news
 
     # -- what the store says ------------------------------------------------------------------
--- a/railtide/lanes/admission.py
+++ b/railtide/lanes/admission.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from enum import StrEnum
 
-from railtide.membership.entrance_set import Visits
+from railtide.membership.router_selection import RouterTraffic
 from railtide.upstreams.limit_shares import QUIET_S, LimitShares
 from railtide.upstreams.load import Upstream, is_cold, is_leaving
 from railtide.upstreams.slow_start import SlowStart
@@ -43,7 +43,7 @@
         self._drained: frozenset[str] = frozenset()
         self._slow_start = SlowStart()
         self._cold_pause_s: ColdPause = _every_router_alone
-        self._limit_shares = LimitShares(ALONE, lambda: Visits((ALONE,)))
+        self._limit_shares = LimitShares(ALONE, lambda: RouterTraffic((ALONE,)))
 
     def set_slow_start(self, slow_start: SlowStart, cold_pause_s: ColdPause) -> None:
         """Take what cold upstreams bear, and this router's part of it."""
--- a/railtide/lanes/tests/test_stated_limits.py
+++ b/railtide/lanes/tests/test_stated_limits.py
@@ -11,8 +11,8 @@
 from railtide.lanes.errors import DeadlineTooNear, LaneError, NoUpstream
 from railtide.lanes.queue import Urgency
 from railtide.lanes.scheduler import PoolScheduler, Slot, WaitingRequest
-from railtide.membership.entrance_set import Visits
 from railtide.membership.instances import Instance
+from railtide.membership.router_selection import RouterTraffic
 from railtide.upstreams.choice import Affinity, PrefixAffinity, TwoChoices
 from railtide.upstreams.limit_shares import QUIET_S, TURN_S, LimitShares, routers_sharing
 from railtide.upstreams.stated_limit import NEWS_LAG_S, LimitNews, LimitReport
@@ -70,11 +70,11 @@
 
     def __init__(self, name: str, fleet: "Fleet") -> None:
         self.name = name
-        self.visits = fleet.visits()
+        self.traffic = fleet.traffic()
         self.scheduler = PoolScheduler(
             PrefixAffinity(TwoChoices(Random(name))), urgent_share=0, trusts_list=True
         )
-        shares = LimitShares(name, lambda: self.visits)
+        shares = LimitShares(name, lambda: self.traffic)
         self.scheduler.set_limit_shares(shares)
         instances = [
             Instance(engine, engine, f"{engine}:1", "a", "engine", "p", 24)
@@ -167,11 +167,11 @@
 
     async def _hear(self, router: Router, after_s: float) -> None:
         await trio.sleep(after_s)
-        router.visits = self.visits()
+        router.traffic = self.traffic()
 
-    def visits(self) -> Visits:
+    def traffic(self) -> RouterTraffic:
         """Return which routers callers come to now."""
-        return Visits(tuple(self.named), tuple(n for n in self.names if n not in self.named))
+        return RouterTraffic(tuple(self.named), tuple(n for n in self.names if n not in self.named))
 
 
 def waiting_for(goal_s: float, urgency: Urgency = Urgency.BULK) -> WaitingRequest:
--- a/railtide/membership/addresses.py
+++ b/railtide/membership/addresses.py
@@ -6,14 +6,14 @@
 
 import xxhash
 
-__all__ = ["Entrance", "addresses_for", "is_address", "rendezvous_order"]
+__all__ = ["RouterEndpoint", "endpoints_for", "is_address", "rendezvous_order"]
 
 ADDRESS = re.compile(r"[A-Za-z0-9._-]+:(\d{1,5})", re.ASCII)
 MOST_PORT = 65_535
 
 
 @dataclass(frozen=True)
-class Entrance:
+class RouterEndpoint:
     """A router that callers may be sent to."""
 
     name: str
@@ -58,17 +58,19 @@
     return xxhash.xxh3_64_intdigest(f"{key}/{name}".encode())
 
 
-def addresses_for(account: str, entrances: Sequence[Entrance], count: int) -> list[Entrance]:
-    """Return up to `count` entrances for an account, each failure domain once before any twice.
+def endpoints_for(
+    account: str, endpoints: Sequence[RouterEndpoint], count: int
+) -> list[RouterEndpoint]:
+    """Return up to `count` endpoints for an account, each failure domain once before any twice.
 
-    Few entrances for an account mean few grants of its budget, so that less of it is in hands.
+    Few endpoints for an account mean few grants of its budget, so that less of it is in hands.
     """
-    by_name = {entrance.name: entrance for entrance in entrances}
+    by_name = {endpoint.name: endpoint for endpoint in endpoints}
     ordered = [by_name[name] for name in rendezvous_order(account, list(by_name))]
-    chosen: list[Entrance] = []
+    chosen: list[RouterEndpoint] = []
     while ordered and len(chosen) < count:
-        used = {entrance.failure_domain for entrance in chosen}
-        fresh = [entrance for entrance in ordered if entrance.failure_domain not in used]
+        used = {endpoint.failure_domain for endpoint in chosen}
+        fresh = [endpoint for endpoint in ordered if endpoint.failure_domain not in used]
         if not fresh:
             chosen += ordered[: count - len(chosen)]
             break
--- a/railtide/membership/roster.py
+++ b/railtide/membership/roster.py
@@ -19,13 +19,13 @@
 from railtide.journal.errors import LogUnavailable
 from railtide.journal.feed import Feed, FeedOptions
 from railtide.journal.keyed import KeyedRecord, KeyedStore
-from railtide.membership.addresses import Entrance, is_address
-from railtide.membership.entrance_set import (
+from railtide.membership.addresses import RouterEndpoint, is_address
+from railtide.membership.router_selection import (
     Candidate,
-    EntranceSetOptions,
-    Visits,
-    chosen_entrances,
-    visits_of,
+    RouterTraffic,
+    SelectionOptions,
+    router_traffic,
+    select_routers,
 )
 from railtide.upstreams.stated_limit import LimitNews
 
@@ -62,7 +62,7 @@
         nobody an answer.
     read_pause_s : float
         Least time between two reads of the topic.
-    entrances : EntranceSetOptions
+    selection : SelectionOptions
         How many routers are named to callers.
     """
 
@@ -71,7 +71,7 @@
     dead_after_s: float = 3.5
     idle_beat_s: float = 3.0
     read_pause_s: float = 1.0
-    entrances: EntranceSetOptions = field(default_factory=EntranceSetOptions)
+    selection: SelectionOptions = field(default_factory=SelectionOptions)
 
 
 class Member(msgspec.Struct, frozen=True, array_like=True):
@@ -193,8 +193,8 @@
         self._load_of = load_of
         self._is_behind = is_behind
         self._beat_at = -math.inf
-        self._named: list[Entrance] = []
-        self._visits = Visits()
+        self._named: list[RouterEndpoint] = []
+        self._traffic = RouterTraffic()
         self._named_at = -math.inf
         self._announcing = True
         self._writing = trio.Lock()
@@ -221,9 +221,9 @@
         """Record that the store came back older: this router's record there is a former one."""
         now = trio.current_time()
         self._lived_at = _recent(self._lived_at, now)
-        self._lived_at |= {self._life_of(entrance): now for entrance in self.live()}
+        self._lived_at |= {self._life_of(endpoint): now for endpoint in self.live()}
         self._named_at_rise = _recent(self._named_at_rise, now)
-        self._named_at_rise |= {self._life_of(entrance): now for entrance in self.named()}
+        self._named_at_rise |= {self._life_of(endpoint): now for endpoint in self.named()}
         self._copy_until = now + COPY_S
         self._beat_at = -math.inf
         self._risen.set()
@@ -309,8 +309,8 @@
             logger.bind(instance=instance).info("router-leaving")
         if member.limits and instance != self._instance and not self._is_backlog(now):
             self.on_limits(member.limits)
-        entrance = Entrance(instance, member.address, member.failure_domain)
-        candidate = Candidate(entrance, member.capacity, member.load, member.behind)
+        endpoint = RouterEndpoint(instance, member.address, member.failure_domain)
+        candidate = Candidate(endpoint, member.capacity, member.load, member.behind)
         self._heard_by_instance[instance] = _Heard(member, now, candidate)
 
     def _is_backlog(self, now: float) -> bool:
@@ -334,19 +334,19 @@
         """Return whether this router's last record that was written says that it is behind."""
         return self._said_behind
 
-    def live(self) -> list[Entrance]:
+    def live(self) -> list[RouterEndpoint]:
         """Return the routers that serve, whether callers are sent to them or not."""
-        return [candidate.entrance for candidate in self._candidates()]
+        return [candidate.endpoint for candidate in self._candidates()]
 
-    def named(self) -> list[Entrance]:
+    def named(self) -> list[RouterEndpoint]:
         """Return the routers that callers are sent to, as of a moment ago."""
         self._name()
         return self._named
 
-    def visits(self) -> Visits:
+    def traffic(self) -> RouterTraffic:
         """Return which routers callers come to, as of a moment ago."""
         self._name()
-        return self._visits
+        return self._traffic
 
     def _name(self) -> None:
         """Choose the routers that callers are sent to anew, unless that was done a moment ago."""
@@ -354,16 +354,16 @@
         if now - self._named_at <= NAMED_AGE_S:
             return
         candidates = self._candidates()
-        named = chosen_entrances(candidates, self._options.entrances)
+        named = select_routers(candidates, self._options.selection)
         if named != self._named:
-            logger.bind(routers=[entrance.name for entrance in named]).info("routers-named")
+            logger.bind(routers=[endpoint.name for endpoint in named]).info("routers-named")
         self._named = named
-        self._visits = visits_of(candidates, named)
+        self._traffic = router_traffic(candidates, named)
         self._named_at = now
 
     def is_named(self) -> bool:
         """Return whether callers are sent to this router."""
-        return any(entrance.name == self._instance for entrance in self.named())
+        return any(endpoint.name == self._instance for endpoint in self.named())
 
     # -- eras ---------------------------------------------------------------------------------
 
@@ -380,10 +380,10 @@
             What the ledgers themselves tell, by instance and incarnation.
         """
         least = math.inf
-        for entrance in self.named():
-            heard = self._heard_by_instance.get(entrance.name)
-            if heard and entrance.name != self._instance and heard.member.first_era:
-                life = (entrance.name, heard.member.incarnation)
+        for endpoint in self.named():
+            heard = self._heard_by_instance.get(endpoint.name)
+            if heard and endpoint.name != self._instance and heard.member.first_era:
+                life = (endpoint.name, heard.member.incarnation)
                 read = max(shown.get(life, 0), self._read_by(heard.member, partition))
                 least = min(least, read)
         return least
@@ -442,8 +442,8 @@
             if not heard.member.address
         }
 
-    def _life_of(self, entrance: Entrance) -> tuple[str, str]:
-        return (entrance.name, self._heard_by_instance[entrance.name].member.incarnation)
+    def _life_of(self, endpoint: RouterEndpoint) -> tuple[str, str]:
+        return (endpoint.name, self._heard_by_instance[endpoint.name].member.incarnation)
 
     # -- who callers are sent to ---------------------------------------------------------------
 
@@ -451,7 +451,7 @@
         """Return whether callers are sent to others, with the newest configuration among them."""
         if self.is_named():
             return False
-        heard = [self._heard_by_instance.get(entrance.name) for entrance in self.named()]
+        heard = [self._heard_by_instance.get(endpoint.name) for endpoint in self.named()]
         return any(router is not None and not router.member.behind for router in heard)
 
     def _candidates(self) -> list[Candidate]:
--- a/railtide/membership/entrance_set.py
+++ b/railtide/membership/router_selection.py
@@ -13,9 +13,9 @@
 
 import xxhash
 
-from railtide.membership.addresses import Entrance
+from railtide.membership.addresses import RouterEndpoint
 
-__all__ = ["Candidate", "EntranceSetOptions", "Visits", "chosen_entrances", "visits_of"]
+__all__ = ["Candidate", "RouterTraffic", "SelectionOptions", "router_traffic", "select_routers"]
 
 VISITED_SHARE = 0.25
 """Part of what named routers are asked from which on callers count as coming to one."""
@@ -29,7 +29,7 @@
 
     Attributes
     ----------
-    entrance : Entrance
+    endpoint : RouterEndpoint
     capacity : float
         Requests a second that its instance can carry.
     load : float
@@ -38,70 +38,72 @@
         Whether it knows of a newer configuration and does not have it.
     """
 
-    entrance: Entrance
+    endpoint: RouterEndpoint
     capacity: float
     load: float
     behind: bool = False
 
 
 @dataclass(frozen=True)
-class EntranceSetOptions:
+class SelectionOptions:
     """How many routers are named.
 
     Attributes
     ----------
-    least : int
+    min_routers : int
         Fewest, while that many live: two in different failure domains, so that the loss of one
         leaves one. A third splits each account's traffic into smaller parts, whose sums in the
         next seconds are told less surely (docs/MEASUREMENTS.md).
-    use : float
+    max_utilization : float
         Part of the capacity of those named that the load may take. Low, since a burst doubles the
         load and half of them may be lost before others are named.
     """
 
-    least: int = 2
-    use: float = 0.25
+    min_routers: int = 2
+    max_utilization: float = 0.25
 
 
 @dataclass(frozen=True)
-class Visits:
+class RouterTraffic:
     """Which routers callers come to.
 
     Attributes
     ----------
-    visited : tuple of str
+    active : tuple of str
         Names of the routers that callers are sent to, and of those that are asked as much: some
         callers keep an address for long.
     idle : tuple of str
         Names of all others that live.
     """
 
-    visited: tuple[str, ...] = ()
+    active: tuple[str, ...] = ()
     idle: tuple[str, ...] = ()
 
 
-def visits_of(candidates: Sequence[Candidate], named: Sequence[Entrance]) -> Visits:
+def router_traffic(
+    candidates: Sequence[Candidate], named: Sequence[RouterEndpoint]
+) -> RouterTraffic:
     """Return which of the routers that live callers come to, given those that are named to them.
 
     Examples
     --------
     >>> loads = {"a": 4.0, "b": 2.0, "c": 0.0}
-    >>> made = [Candidate(Entrance(n, n, n), 10.0, load) for n, load in loads.items()]
-    >>> visits_of(made, [made[0].entrance])
-    Visits(visited=('a', 'b'), idle=('c',))
+    >>> made = [Candidate(RouterEndpoint(n, n, n), 10.0, load) for n, load in loads.items()]
+    >>> router_traffic(made, [made[0].endpoint])
+    RouterTraffic(active=('a', 'b'), idle=('c',))
     """
-    names = {entrance.name for entrance in named}
-    loads = [candidate.load for candidate in candidates if candidate.entrance.name in names]
+    names = {endpoint.name for endpoint in named}
+    loads = [candidate.load for candidate in candidates if candidate.endpoint.name in names]
     least = VISITED_SHARE * sum(loads) / max(1, len(loads))
-    visited = [c.entrance.name for c in candidates if c.entrance.name in names or c.load > least]
-    idle = [c.entrance.name for c in candidates if c.entrance.name not in names and c.load <= least]
-    return Visits(tuple(visited), tuple(idle))
+    active = [c.endpoint.name for c in candidates if c.endpoint.name in names or c.load > least]
+    idle = [c.endpoint.name for c in candidates if c.endpoint.name not in names and c.load <= least]
+    return RouterTraffic(tuple(active), tuple(idle))
 
 
-def chosen_entrances(
-    candidates: Sequence[Candidate], options: EntranceSetOptions
-) -> list[Entrance]:
-    """Return the entrances to name: the largest of each failure domain in turn.
+def select_routers(
+    candidates: Sequence[Candidate], options: SelectionOptions
+) -> list[RouterEndpoint]:
+    """Return the routers to advertise: the largest of each failure domain in turn.
 
     Those that are behind are named where the current ones are too few or don't carry the load: they
     serve all but what is new.
@@ -114,20 +116,20 @@
 
     Examples
     --------
-    >>> made = [Candidate(Entrance(n, n, n[0]), 10.0, 1.0) for n in ("a1", "a2", "b1", "b2")]
-    >>> chosen = chosen_entrances(made, EntranceSetOptions(least=2, use=0.5))
-    >>> len(chosen), {entrance.failure_domain for entrance in chosen} == {"a", "b"}
+    >>> made = [Candidate(RouterEndpoint(n, n, n[0]), 10.0, 1.0) for n in ("a1", "a2", "b1", "b2")]
+    >>> chosen = select_routers(made, SelectionOptions(min_routers=2, max_utilization=0.5))
+    >>> len(chosen), {endpoint.failure_domain for endpoint in chosen} == {"a", "b"}
     (2, True)
     """
-    needed = sum(candidate.load for candidate in candidates) / options.use
-    chosen: list[Entrance] = []
+    needed = sum(candidate.load for candidate in candidates) / options.max_utilization
+    chosen: list[RouterEndpoint] = []
     capacity = 0.0
     current = [candidate for candidate in candidates if not candidate.behind]
     behind = [candidate for candidate in candidates if candidate.behind]
     for candidate in _by_domain_in_turn(current) + _by_domain_in_turn(behind):
-        if len(chosen) >= options.least and capacity >= needed:
+        if len(chosen) >= options.min_routers and capacity >= needed:
             break
-        chosen.append(candidate.entrance)
+        chosen.append(candidate.endpoint)
         capacity += candidate.capacity
     return chosen
 
@@ -136,13 +138,13 @@
     """Return the candidates, the best of each failure domain first, then the second ones."""
     ordered_by_domain: dict[str, list[Candidate]] = {}
     for candidate in sorted(candidates, key=_order):
-        ordered_by_domain.setdefault(candidate.entrance.failure_domain, []).append(candidate)
+        ordered_by_domain.setdefault(candidate.endpoint.failure_domain, []).append(candidate)
     rounds = zip_longest(*ordered_by_domain.values())
     return [candidate for each in rounds for candidate in each if candidate is not None]
 
 
 def _order(candidate: Candidate) -> tuple[float, int]:
-    return (-candidate.capacity, _place_of(candidate.entrance.name))
+    return (-candidate.capacity, _place_of(candidate.endpoint.name))
 
 
 @lru_cache(maxsize=MOST_NAMES)
--- a/railtide/membership/tests/test_addresses.py
+++ b/railtide/membership/tests/test_addresses.py
@@ -3,34 +3,34 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from railtide.membership.addresses import Entrance, addresses_for
+from railtide.membership.addresses import RouterEndpoint, endpoints_for
 from railtide.membership.instances import Instance, InstanceState, merge_instances
 
 NAMES = st.lists(st.text("abcdef", min_size=1, max_size=4), min_size=1, max_size=12, unique=True)
 
 
-def entrances(names: list[str]) -> list[Entrance]:
-    return [Entrance(name, f"{name}:1", "xyz"[len(name) % 3]) for name in names]
+def endpoints(names: list[str]) -> list[RouterEndpoint]:
+    return [RouterEndpoint(name, f"{name}:1", "xyz"[len(name) % 3]) for name in names]
 
 
 class TestAddresses:
     @given(names=NAMES, count=st.integers(1, 5))
     def test_are_distinct_and_as_many_as_asked(self, names: list[str], count: int) -> None:
-        chosen = addresses_for("acc", entrances(names), count)
+        chosen = endpoints_for("acc", endpoints(names), count)
         assert len(set(chosen)) == len(chosen) == min(count, len(names))
 
     @given(names=NAMES)
     def test_cover_every_failure_domain_first(self, names: list[str]) -> None:
-        domains = {entrance.failure_domain for entrance in entrances(names)}
-        chosen = addresses_for("acc", entrances(names), len(domains))
-        assert {entrance.failure_domain for entrance in chosen} == domains
+        domains = {endpoint.failure_domain for endpoint in endpoints(names)}
+        chosen = endpoints_for("acc", endpoints(names), len(domains))
+        assert {endpoint.failure_domain for endpoint in chosen} == domains
 
     @given(names=NAMES)
     def test_losing_another_instance_changes_nothing(self, names: list[str]) -> None:
-        first = addresses_for("acc", entrances(names), 1)[0]
+        first = endpoints_for("acc", endpoints(names), 1)[0]
         others = [name for name in names if name != first.name]
         kept = [first.name, *others[1:]]
-        assert addresses_for("acc", entrances(kept), 1) == [first]
+        assert endpoints_for("acc", endpoints(kept), 1) == [first]
 
 
 class TestMergeInstances:
--- a/railtide/membership/tests/test_newest_for_backlog.py
+++ b/railtide/membership/tests/test_newest_for_backlog.py
@@ -58,14 +58,14 @@
             nursery.start_soon(beat_for_ever, store)
             nursery.start_soon(roster.run, lambda: True)
             await trio.sleep(30.0)
-            assert "died" not in {entrance.name for entrance in roster.live()}
+            assert "died" not in {endpoint.name for endpoint in roster.live()}
             way.down = True
             await trio.sleep(cut_s)
             way.down = False
             back = trio.current_time()
             while trio.current_time() - back < 15.0:
                 await trio.sleep(0.1)
-                if "died" in {entrance.name for entrance in roster.live()}:
+                if "died" in {endpoint.name for endpoint in roster.live()}:
                     seen_alive.append(round(trio.current_time() - back, 1))
             nursery.cancel_scope.cancel()
         assert not seen_alive, (seen_alive[0], seen_alive[-1])
--- a/railtide/membership/tests/test_roster.py
+++ b/railtide/membership/tests/test_roster.py
@@ -13,7 +13,7 @@
 from railtide.upstreams.stated_limit import LimitNews
 
 OPTIONS = RosterOptions()
-LEAST = OPTIONS.entrances.least
+LEAST = OPTIONS.selection.min_routers
 FLEET = 6
 SETTLED_S = 6.0
 """In which routers find one another and count as named or not."""
@@ -24,7 +24,7 @@
 
 
 def names(made: Roster) -> list[str]:
-    return sorted(entrance.name for entrance in made.live())
+    return sorted(endpoint.name for endpoint in made.live())
 
 
 async def start(nursery: trio.Nursery, made: Roster) -> trio.CancelScope:
@@ -65,7 +65,7 @@
 class TestNaming:
     async def test_all_routers_name_the_same_few(self, autojump_clock) -> None:
         async with fleet(0.0, MemoryStore()) as made:
-            chosen = {tuple(entrance.name for entrance in each.named()) for each in made}
+            chosen = {tuple(endpoint.name for endpoint in each.named()) for each in made}
             assert len(chosen) == 1
             assert len(chosen.pop()) == LEAST
             assert sum(each.is_named() for each in made) == LEAST
@@ -92,11 +92,11 @@
         async with trio.open_nursery() as nursery:
             scopes = {name: await start(nursery, each) for name, each in made.items()}
             await trio.sleep(SETTLED_S)
-            named = [entrance.name for entrance in made["r0"].named()]
+            named = [endpoint.name for endpoint in made["r0"].named()]
             scopes[named[0]].cancel()
             await trio.sleep(OPTIONS.dead_after_s + 3)
             survivor = made[named[1]]
-            assert named[0] not in [entrance.name for entrance in survivor.named()]
+            assert named[0] not in [endpoint.name for endpoint in survivor.named()]
             assert len(survivor.named()) == LEAST
             nursery.cancel_scope.cancel()
 
--- a/railtide/membership/tests/test_roster_eras.py
+++ b/railtide/membership/tests/test_roster_eras.py
@@ -87,7 +87,7 @@
                 former = ["b-1", "b:1", "z", beat, 10.0, 0.0, 1.0, False]
                 store.put(OPTIONS.topic, "b", msgspec.msgpack.encode(former))
                 await trio.sleep(1.0)
-            assert "b" in [entrance.name for entrance in made.named()]
+            assert "b" in [endpoint.name for endpoint in made.named()]
             assert made.read_up_to(0, {}) == math.inf
             nursery.cancel_scope.cancel()
 
--- a/railtide/membership/tests/test_entrance_set.py
+++ b/railtide/membership/tests/test_router_selection.py
@@ -1,20 +1,20 @@
-"""Tests of railtide.membership.entrance_set."""
+"""Tests of railtide.membership.router_selection."""
 
 from dataclasses import replace
 
 from hypothesis import given
 from hypothesis import strategies as st
 
-from railtide.membership.addresses import Entrance
-from railtide.membership.entrance_set import (
+from railtide.membership.addresses import RouterEndpoint
+from railtide.membership.router_selection import (
     Candidate,
-    EntranceSetOptions,
-    Visits,
-    chosen_entrances,
-    visits_of,
+    RouterTraffic,
+    SelectionOptions,
+    router_traffic,
+    select_routers,
 )
 
-OPTIONS = EntranceSetOptions(least=3, use=0.25)
+OPTIONS = SelectionOptions(min_routers=3, max_utilization=0.25)
 
 
 def candidate(
@@ -24,11 +24,11 @@
     load: float = 1.0,
     behind: bool = False,
 ):
-    return Candidate(Entrance(name, f"{name}:1", domain), capacity, load, behind)
+    return Candidate(RouterEndpoint(name, f"{name}:1", domain), capacity, load, behind)
 
 
-def names(candidates: list[Candidate], options: EntranceSetOptions = OPTIONS) -> list[str]:
-    return [entrance.name for entrance in chosen_entrances(candidates, options)]
+def names(candidates: list[Candidate], options: SelectionOptions = OPTIONS) -> list[str]:
+    return [endpoint.name for endpoint in select_routers(candidates, options)]
 
 
 def fleets(most_load: float) -> st.SearchStrategy[list[Candidate]]:
@@ -42,7 +42,7 @@
             st.booleans(),
         ),
         max_size=20,
-        unique_by=lambda made: made.entrance.name,
+        unique_by=lambda made: made.endpoint.name,
     )
 
 
@@ -61,13 +61,13 @@
     @given(fleet=FLEETS)
     def test_carry_the_load_or_are_all(self, fleet: list[Candidate]) -> None:
         chosen = names(fleet)
-        capacity = sum(c.capacity for c in fleet if c.entrance.name in chosen)
+        capacity = sum(c.capacity for c in fleet if c.endpoint.name in chosen)
         load = sum(c.load for c in fleet)
-        assert len(chosen) == len(fleet) or capacity * OPTIONS.use >= load * 0.999
+        assert len(chosen) == len(fleet) or capacity * OPTIONS.max_utilization >= load * 0.999
 
     @given(fleet=FLEETS)
     def test_least_are_named_whatever_the_load(self, fleet: list[Candidate]) -> None:
-        assert len(names(fleet)) >= min(OPTIONS.least, len(fleet))
+        assert len(names(fleet)) >= min(OPTIONS.min_routers, len(fleet))
 
     def test_stand_in_different_failure_domains(self) -> None:
         fleet = [candidate(f"{domain}{n}", domain) for domain in "abc" for n in range(4)]
@@ -75,12 +75,12 @@
 
     def test_are_the_largest_of_their_failure_domain(self) -> None:
         fleet = [candidate("small", "a", 80.0), candidate("large", "a", 400.0)]
-        assert names(fleet, EntranceSetOptions(least=1)) == ["large"]
+        assert names(fleet, SelectionOptions(min_routers=1)) == ["large"]
 
     def test_loss_of_one_moves_only_its_place(self) -> None:
         fleet = [candidate(f"{domain}{n}", domain) for domain in "abc" for n in range(4)]
         before = names(fleet)
-        after = names([c for c in fleet if c.entrance.name != before[0]])
+        after = names([c for c in fleet if c.endpoint.name != before[0]])
         assert len(set(after) - set(before)) == 1
         assert set(before[1:]) <= set(after)
 
@@ -94,12 +94,12 @@
     ) -> None:
         current = [c for c in fleet if not c.behind]
         chosen = names(fleet)
-        if set(chosen) <= {c.entrance.name for c in current}:
+        if set(chosen) <= {c.endpoint.name for c in current}:
             return
         load = sum(c.load for c in fleet)
         capacity = sum(c.capacity for c in current)
-        assert {c.entrance.name for c in current} < set(chosen)
-        assert len(current) < OPTIONS.least or capacity * OPTIONS.use < load
+        assert {c.endpoint.name for c in current} < set(chosen)
+        assert len(current) < OPTIONS.min_routers or capacity * OPTIONS.max_utilization < load
 
     @given(fleet=FLEETS)
     def test_are_named_where_all_are_behind(self, fleet: list[Candidate]) -> None:
@@ -110,23 +110,23 @@
     def test_largest_gives_way_to_current_ones(self) -> None:
         fleet = [candidate("large", "a", 400.0, behind=True)]
         fleet += [candidate("a1", "a"), candidate("b1", "b")]
-        assert sorted(names(fleet, EntranceSetOptions(least=2))) == ["a1", "b1"]
+        assert sorted(names(fleet, SelectionOptions(min_routers=2))) == ["a1", "b1"]
 
     def test_one_joins_a_single_current_router(self) -> None:
         """The loss of one router of those that are named has to leave one."""
         fleet = [candidate("a1", "a"), candidate("b1", "b", behind=True)]
-        assert names(fleet, EntranceSetOptions(least=2)) == ["a1", "b1"]
+        assert names(fleet, SelectionOptions(min_routers=2)) == ["a1", "b1"]
 
 
 class TestVisits:
     def test_router_that_is_asked_as_much_counts_though_it_is_not_named(self) -> None:
         fleet = [candidate("a", load=20.0), candidate("b", load=6.0), candidate("c", load=4.0)]
-        visits = visits_of(fleet, [fleet[0].entrance])
-        assert visits == Visits(("a", "b"), ("c",))
+        traffic = router_traffic(fleet, [fleet[0].endpoint])
+        assert traffic == RouterTraffic(("a", "b"), ("c",))
 
     def test_before_any_traffic_only_named_routers_count(self) -> None:
         fleet = [candidate(name, load=0.0) for name in "abc"]
-        assert visits_of(fleet, [fleet[1].entrance]) == Visits(("b",), ("a", "c"))
+        assert router_traffic(fleet, [fleet[1].endpoint]) == RouterTraffic(("b",), ("a", "c"))
 
     def test_nobody_lives(self) -> None:
-        assert visits_of([], []) == Visits()
+        assert router_traffic([], []) == RouterTraffic()
--- a/railtide/platform/program.py
+++ b/railtide/platform/program.py
@@ -216,7 +216,7 @@
         await responder.answer(NOT_FOUND, ())
         return
     zone = parse_qs(parts.query).get("zone", [""])[0]
-    addresses = [entrance.address for entrance in node.addresses(zone)]
+    addresses = [endpoint.address for endpoint in node.addresses(zone)]
     if not addresses:
         await responder.answer(UNAVAILABLE, ())
         return
--- a/railtide/platform/tests/test_outdated_view.py
+++ b/railtide/platform/tests/test_outdated_view.py
@@ -109,7 +109,7 @@
 
 
 def named_by(w: World) -> set[str]:
-    return {entrance.name for entrance in w.node.addresses("z")}
+    return {endpoint.name for endpoint in w.node.addresses("z")}
 
 
 def events(lines: list[dict[str, object]], name: str) -> list[dict[str, object]]:
@@ -238,7 +238,7 @@
             await keep_back(w, with_new_route())
             await until(lambda: w.node.roster.is_announced_behind())
             await trio.sleep(w.node.options.roster.dead_after_s + 1)
-            assert [entrance.name for entrance in w.node.addresses("z")] == ["i1"]
+            assert [endpoint.name for endpoint in w.node.addresses("z")] == ["i1"]
             w.store.keeps_back = False
             await until(lambda: not w.node.roster.is_announced_behind())
 
--- a/railtide/router/app.py
+++ b/railtide/router/app.py
@@ -160,7 +160,7 @@
             return []
         try:
             account = account_of(HttpRequest("GET", "", headers=headers), self._router.directory)
-            return [entrance.address for entrance in self._router.addresses(account)]
+            return [endpoint.address for endpoint in self._router.addresses(account)]
         except RailtideError:
             return []
 
--- a/railtide/router/router.py
+++ b/railtide/router/router.py
@@ -13,7 +13,7 @@
 from railtide.configuration.models import AccountSettings, ModelBody, ServiceBody
 from railtide.journal.writer import Writer
 from railtide.lanes.scheduler import PoolScheduler
-from railtide.membership.addresses import Entrance, addresses_for
+from railtide.membership.addresses import RouterEndpoint, endpoints_for
 from railtide.membership.errors import NoInstance
 from railtide.membership.identity import Identity, Role
 from railtide.membership.instances import Instance, InstanceState
@@ -211,7 +211,7 @@
             return float("inf")
         return trio.current_time() - self._fresh_at
 
-    def addresses(self, account: str) -> list[Entrance]:
+    def addresses(self, account: str) -> list[RouterEndpoint]:
         """Return the routers that callers of an account are to use now.
 
         Raises
@@ -220,14 +220,14 @@
             None is known that is live.
         """
         settings = self.directory.settings(account) or AccountSettings()
-        chosen = addresses_for(account, self._entrances(), settings.entrances)
+        chosen = endpoints_for(account, self._endpoints(), settings.entrances)
         if not chosen:
             raise NoInstance("no live router is known", retry_after=SOON_S)
         return chosen
 
-    def _entrances(self) -> list[Entrance]:
+    def _endpoints(self) -> list[RouterEndpoint]:
         return [
-            Entrance(member.name, member.address, member.failure_domain)
+            RouterEndpoint(member.name, member.address, member.failure_domain)
             for member in self._members
             if member.role == Role.ROUTER and member.state is InstanceState.LIVE
         ]
@@ -238,7 +238,7 @@
         return self.uplink.log_reachable
 
     def _holders(self, settings: AccountSettings) -> int:
-        return max(1, min(settings.entrances, len(self._entrances())))
+        return max(1, min(settings.entrances, len(self._endpoints())))
 
     def _prices_of(self, pool: str) -> Prices:
         for body in self.directory.bodies(Kind.MODEL):
--- a/railtide/upstreams/limit_shares.py
+++ b/railtide/upstreams/limit_shares.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Sequence
 
 from railtide.membership.addresses import rendezvous_order
-from railtide.membership.entrance_set import Visits
+from railtide.membership.router_selection import RouterTraffic
 
 __all__ = ["LimitShares", "routers_sharing"]
 
@@ -48,32 +48,32 @@
     ----------
     own : str
         Name of this router.
-    visits : callable
+    traffic : callable
         Returns which routers callers come to, as this one knows them.
 
     Examples
     --------
-    >>> visits = Visits(("r1", "r2"), ("r3",))
-    >>> LimitShares("r1", lambda: visits).pause_s("e1", per_s=4.0)
+    >>> traffic = RouterTraffic(("r1", "r2"), ("r3",))
+    >>> LimitShares("r1", lambda: traffic).pause_s("e1", per_s=4.0)
     0.5
-    >>> other = LimitShares("r3", lambda: visits)
+    >>> other = LimitShares("r3", lambda: traffic)
     >>> other.pause_s("e1", per_s=4.0), other.patience_s("e1", per_s=4.0)
     (inf, 10.0)
     >>> other.pause_s("e1", per_s=20.0)
     0.5
     """
 
-    def __init__(self, own: str, visits: Callable[[], Visits]) -> None:
+    def __init__(self, own: str, traffic: Callable[[], RouterTraffic]) -> None:
         self._own = own
-        self._visits = visits
-        self._known = Visits()
+        self._traffic = traffic
+        self._known = RouterTraffic()
         self._pause_by_limit: dict[tuple[str, float], float] = {}
 
     def pause_s(self, upstream: str, per_s: float) -> float:
         """Return the time between two requests of this router; infinite if others send them."""
-        visits = self._visits()
-        if visits is not self._known:
-            self._known = visits
+        traffic = self._traffic()
+        if traffic is not self._known:
+            self._known = traffic
             self._pause_by_limit.clear()
         limit = (upstream, per_s)
         pause = self._pause_by_limit.get(limit)
@@ -82,18 +82,18 @@
         return pause
 
     def _new_pause_s(self, upstream: str, per_s: float) -> float:
-        visited, idle = self._known.visited, self._known.idle
+        active, idle = self._known.active, self._known.idle
         idle_pause_s = len(idle) / (IDLE_SHARE * per_s)
         has_idle_part = 0 < idle_pause_s <= MOST_IDLE_PAUSE_S
         if self._own in idle:
             return idle_pause_s if has_idle_part else math.inf
         shared = (1 - IDLE_SHARE) * per_s if has_idle_part else per_s
-        sharing = routers_sharing(upstream, visited, per_s)
+        sharing = routers_sharing(upstream, active, per_s)
         return len(sharing) / shared if self._own in sharing else math.inf
 
     def patience_s(self, upstream: str, per_s: float) -> float:
         """Return for how long nothing is heard of a limit before this router asks for itself."""
-        known = self._visits()
-        sharing = set(routers_sharing(upstream, known.visited, per_s))
-        others = {*known.visited, *known.idle} - sharing | {self._own}
+        known = self._traffic()
+        sharing = set(routers_sharing(upstream, known.active, per_s))
+        others = {*known.active, *known.idle} - sharing | {self._own}
         return QUIET_S + TURN_S * rendezvous_order(upstream, sorted(others)).index(self._own)
--- a/railtide/upstreams/tests/test_limit_shares.py
+++ b/railtide/upstreams/tests/test_limit_shares.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from railtide.membership.entrance_set import Visits
+from railtide.membership.router_selection import RouterTraffic
 from railtide.upstreams.limit_shares import QUIET_S, TURN_S, LimitShares, routers_sharing
 from railtide.upstreams.tests.test_slow_start import sends
 
@@ -25,15 +25,15 @@
     return max((sum(at <= t < at + WINDOW_S for t in times) for at in times), default=0)
 
 
-def visits_in(named: list[str]) -> Visits:
+def traffic_of(named: list[str]) -> RouterTraffic:
     """Return that callers come to some of all routers."""
-    return Visits(tuple(named), tuple(name for name in NAMES if name not in named))
+    return RouterTraffic(tuple(named), tuple(name for name in NAMES if name not in named))
 
 
 def pauses(named: list[str], per_s: float) -> list[float]:
     """Return the pause of each router, named or not."""
-    visits = visits_in(named)
-    return [LimitShares(r, lambda: visits).pause_s("e", per_s) for r in NAMES]
+    traffic = traffic_of(named)
+    return [LimitShares(r, lambda: traffic).pause_s("e", per_s) for r in NAMES]
 
 
 class TestBound:
@@ -64,8 +64,8 @@
 
     @given(st.integers(min_value=1, max_value=60), RATES)
     def test_all_of_it_is_used(self, routers: int, per_s: float) -> None:
-        visits = Visits(tuple(f"r{n}" for n in range(routers)))
-        parts = [LimitShares(r, lambda: visits).pause_s("e", per_s) for r in visits.visited]
+        traffic = RouterTraffic(tuple(f"r{n}" for n in range(routers)))
+        parts = [LimitShares(r, lambda: traffic).pause_s("e", per_s) for r in traffic.active]
         sent_per_s = sum(1 / pause for pause in parts)
         assert math.isclose(sent_per_s, per_s)
 
@@ -81,40 +81,38 @@
         assert min(parts.values()) >= 1 and max(parts.values()) <= 14
 
     def test_those_without_a_part_ask_one_after_the_other(self) -> None:
-        visits = visits_in(NAMES[:5])
+        traffic = traffic_of(NAMES[:5])
         waits = []
         for router in NAMES:
-            shares = LimitShares(router, lambda: visits)
+            shares = LimitShares(router, lambda: traffic)
             if math.isinf(shares.pause_s("e", 1.0)):
                 waits.append(shares.patience_s("e", 1.0))
         assert sorted(waits) == [QUIET_S + TURN_S * place for place in range(37)]
 
     def test_router_that_knows_of_nobody_has_a_turn(self) -> None:
-        shares = LimitShares("r1", Visits)
+        shares = LimitShares("r1", RouterTraffic)
         assert math.isinf(shares.pause_s("e", 1.0))
         assert shares.patience_s("e", 1.0) == QUIET_S
 
     def test_router_that_has_a_part_since_a_moment_ago_has_the_first_turn(self) -> None:
         """The fleet is looked at anew for each question."""
-        shares = LimitShares("r1", lambda: Visits(("r1",)))
+        shares = LimitShares("r1", lambda: RouterTraffic(("r1",)))
         assert shares.patience_s("e", 1.0) == QUIET_S
 
     def test_shares_follow_the_fleet(self) -> None:
-        known = [Visits(("r1", "r2")), Visits(("r1",))]
+        known = [RouterTraffic(("r1", "r2")), RouterTraffic(("r1",))]
         shares = LimitShares("r1", lambda: known[0])
         assert shares.pause_s("e", 1.0) == 2.0
         del known[0]
         assert shares.pause_s("e", 1.0) == 1.0
 
     @given(st.integers(min_value=1, max_value=39), st.floats(min_value=0.05, max_value=400.0))
-    def test_all_parts_together_are_no_more_than_the_limit(
-        self, visited: int, per_s: float
-    ) -> None:
-        sent_per_s = sum(1 / pause for pause in pauses(NAMES[:visited], per_s))
+    def test_all_parts_together_are_no_more_than_the_limit(self, active: int, per_s: float) -> None:
+        sent_per_s = sum(1 / pause for pause in pauses(NAMES[:active], per_s))
         assert sent_per_s < per_s or math.isclose(sent_per_s, per_s)
 
     @given(RATES, st.integers(min_value=1, max_value=39))
-    def test_idle_routers_have_a_part_of_a_high_rate_only(self, per_s: float, visited: int) -> None:
-        visits = visits_in(NAMES[:visited])
-        pause = LimitShares(NAMES[-1], lambda: visits).pause_s("e", per_s)
-        assert math.isfinite(pause) == (len(visits.idle) <= 0.2 * per_s)
+    def test_idle_routers_have_a_part_of_a_high_rate_only(self, per_s: float, active: int) -> None:
+        traffic = traffic_of(NAMES[:active])
+        pause = LimitShares(NAMES[-1], lambda: traffic).pause_s("e", per_s)
+        assert math.isfinite(pause) == (len(traffic.idle) <= 0.2 * per_s)
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -392,9 +392,9 @@
     ),
     Mutant(
         "load-names-nobody-more",
-        "membership/entrance_set.py",
-        "if len(chosen) >= options.least and capacity >= needed:",
-        "if len(chosen) >= options.least:",
+        "membership/router_selection.py",
+        "if len(chosen) >= options.min_routers and capacity >= needed:",
+        "if len(chosen) >= options.min_routers:",
         (MEMBERSHIP,),
     ),
     Mutant(
@@ -1441,14 +1441,14 @@
     ),
     Mutant(
         "router-that-is-behind-is-named-like-others",
-        "membership/entrance_set.py",
+        "membership/router_selection.py",
         "_by_domain_in_turn(current) + _by_domain_in_turn(behind)",
         "_by_domain_in_turn(candidates)",
         (MEMBERSHIP,),
     ),
     Mutant(
         "none-is-named-where-all-are-behind",
-        "membership/entrance_set.py",
+        "membership/router_selection.py",
         "_by_domain_in_turn(current) + _by_domain_in_turn(behind)",
         "_by_domain_in_turn(current)",
         (MEMBERSHIP,),
@@ -2462,10 +2462,10 @@
     ),
     Mutant(
         "routers-that-are-asked-but-not-named-have-no-part",
-        "membership/entrance_set.py",
-        "if c.entrance.name in names or c.load > least]",
-        "if c.entrance.name in names]",
-        (f"{MEMBERSHIP}/test_entrance_set.py",),
+        "membership/router_selection.py",
+        "if c.endpoint.name in names or c.load > least]",
+        "if c.endpoint.name in names]",
+        (f"{MEMBERSHIP}/test_router_selection.py",),
     ),
     Mutant(
         "waiting-for-what-a-limit-took-away",
