--- a/railtide/budgets/ledger_treasury.py
+++ b/railtide/budgets/ledger_treasury.py
@@ -149,7 +149,7 @@
         for part in self.partitions:
             part.ask()
 
-    def read_ends(self) -> tuple[int, ...]:
+    def read_offsets(self) -> tuple[int, ...]:
         """Return up to which offset each partition was read, in the store's era."""
         return tuple(part.read_end for part in self.partitions)
 
--- a/railtide/edge/node.py
+++ b/railtide/edge/node.py
@@ -117,7 +117,7 @@
             rng,
             self._load.per_second,
             lambda: self._freshness.is_behind(),
-            lambda: self.treasury.read_ends(),
+            lambda: self.treasury.read_offsets(),
             lambda: self._pools.limit_news(),
         )
         self.treasury = LedgerTreasury(
@@ -132,7 +132,7 @@
             identity.address,
             RosterPeers(self.roster),
         )
-        self.roster.on_heard = self.treasury.note_peers
+        self.roster.on_update = self.treasury.note_peers
         self._pools = EdgePools(
             identity.instance,
             self.roster,
@@ -296,7 +296,7 @@
         ConfigurationOutdated
             Other routers serve by a newer version.
         """
-        if self._freshness.is_behind() and self.roster.is_stood_in_for():
+        if self._freshness.is_behind() and self.roster.has_current_substitute():
             raise self._freshness.replaced(self._version())
 
     def told_of(self, refusal: RailtideError) -> RailtideError:
@@ -338,7 +338,7 @@
 
     def addresses(self, failure_domain: str) -> list[RouterEndpoint]:
         """Return the routers that a caller may use, those of its failure domain first."""
-        named = list(self.roster.named())
+        named = list(self.roster.advertised())
         self._rng.shuffle(named)
         named.sort(key=lambda endpoint: endpoint.failure_domain != failure_domain)
         return named[: self.options.most_addresses]
@@ -410,14 +410,14 @@
     # -- what the parts ask -------------------------------------------------------------------
 
     def _named_routers(self) -> list[str]:
-        return [endpoint.name for endpoint in self.roster.named()]
+        return [endpoint.name for endpoint in self.roster.advertised()]
 
     def _sharing_routers(self) -> int:
         """Return how many routers keep budgets in hand, 0 if this one is not to."""
-        return len(self.roster.named()) if self.roster.is_named() else 0
+        return len(self.roster.advertised()) if self.roster.is_advertised() else 0
 
     def _upstream_pause_s(self) -> float:
-        named = self.roster.is_named()
+        named = self.roster.is_advertised()
         return self.options.upstream_pause_s if named else self.options.idle_upstream_pause_s
 
     def _retries_of(self, pool: str) -> RetryBudget:
--- a/railtide/edge/peers.py
+++ b/railtide/edge/peers.py
@@ -21,12 +21,12 @@
 
     def read_up_to(self, partition: int, shown: Mapping[Life, int]) -> float:
         """See `Peers.read_up_to`."""
-        return self._roster.read_up_to(partition, shown)
+        return self._roster.min_read_offset(partition, shown)
 
     def gone(self, era: int, opened: int) -> int:
         """See `Peers.gone`."""
-        return self._roster.gone(era, opened)
+        return self._roster.count_missing(era, opened)
 
     def knows_former(self, era: int, opened: int) -> bool:
         """See `Peers.knows_former`."""
-        return self._roster.knows_former(era, opened)
+        return self._roster.has_survivor(era, opened)
--- a/railtide/edge/pools.py
+++ b/railtide/edge/pools.py
@@ -65,7 +65,7 @@
         self._on_listed = on_listed
         self._slow_start_by_pool: dict[str, SlowStart] = {}
         self._slow_start_shares = SlowStartShares(
-            own, lambda: [endpoint.name for endpoint in roster.named()]
+            own, lambda: [endpoint.name for endpoint in roster.advertised()]
         )
         self._limit_shares = LimitShares(own, roster.traffic)
         roster.on_limits = self.take_limit_news
--- a/railtide/edge/tests/rollback_fleet.py
+++ b/railtide/edge/tests/rollback_fleet.py
@@ -154,7 +154,7 @@
             member,
             RosterOptions(),
             self.rng,
-            read_ends=lambda: self.treasury.read_ends(),
+            read_offsets=lambda: self.treasury.read_offsets(),
         )
         self.treasury = LedgerTreasury(
             self.store,
@@ -167,7 +167,7 @@
             address=f"{self.name}:1",
             peers=RosterPeers(self.roster),
         )
-        self.roster.on_heard = self.treasury.note_peers
+        self.roster.on_update = self.treasury.note_peers
         self.treasury.set_prepaid({ACCOUNT: PREPAID})
         self.treasury.spread()
         with trio.CancelScope() as self.scope:
@@ -177,7 +177,7 @@
                 await trio.sleep_forever()
 
     def _sharing(self) -> int:
-        return len(self.roster.named()) if self.roster.is_named() else 0
+        return len(self.roster.advertised()) if self.roster.is_advertised() else 0
 
     def kill(self) -> None:
         """End its process; nothing that it knew is left."""
--- a/railtide/membership/roster.py
+++ b/railtide/membership/roster.py
@@ -52,12 +52,12 @@
     Attributes
     ----------
     topic : str
-    beat_s : float
+    heartbeat_interval_s : float
         Time between two records of a router.
     dead_after_s : float
         A router whose record has not moved for so long is not named to callers. Three beats and
         a slow answer of the store. For one that beats more slowly, as many of its own beats.
-    idle_beat_s : float
+    idle_heartbeat_interval_s : float
         The same of a router that callers are not sent to. Its loss is noticed later, and costs
         nobody an answer.
     read_pause_s : float
@@ -67,9 +67,9 @@
     """
 
     topic: str = "keyed.railtide-roster"
-    beat_s: float = 1.0
+    heartbeat_interval_s: float = 1.0
     dead_after_s: float = 3.5
-    idle_beat_s: float = 3.0
+    idle_heartbeat_interval_s: float = 3.0
     read_pause_s: float = 1.0
     selection: SelectionOptions = field(default_factory=SelectionOptions)
 
@@ -81,9 +81,9 @@
     ----------
     capacity, load : float
         Requests a second that it can carry, and that it was asked lately.
-    beat_s : float
+    heartbeat_interval_s : float
         How long after this record its next one is due at the latest.
-    behind : bool
+    outdated : bool
         Whether it knows of a newer configuration and did not get it in time.
     era, first_era : int
         The store's era as it wrote this, and as its process wrote its first record; 0 for none.
@@ -96,11 +96,11 @@
     incarnation: str
     address: str
     failure_domain: str
-    beat: int
+    heartbeat_seq: int
     capacity: Annotated[float, msgspec.Meta(gt=0, le=MOST_RATE)] = 1.0
     load: Annotated[float, msgspec.Meta(ge=0, le=MOST_RATE)] = 0.0
-    beat_s: Annotated[float, msgspec.Meta(gt=0, le=MOST_BEAT_S)] = 1.0
-    behind: bool = False
+    heartbeat_interval_s: Annotated[float, msgspec.Meta(gt=0, le=MOST_BEAT_S)] = 1.0
+    outdated: bool = False
     era: Annotated[int, msgspec.Meta(ge=0)] = 0
     first_era: Annotated[int, msgspec.Meta(ge=0)] = 0
     read: tuple[Annotated[int, msgspec.Meta(ge=0)], ...] = ()
@@ -123,7 +123,7 @@
 
 def _is_former(member: Member, known: Member) -> bool:
     """Return whether a record is one that its router wrote before one that is known."""
-    return member.incarnation == known.incarnation and member.beat < known.beat
+    return member.incarnation == known.incarnation and member.heartbeat_seq < known.heartbeat_seq
 
 
 @dataclass
@@ -149,16 +149,16 @@
     rng : random.Random
     load_of : callable, optional
         Returns the requests a second that this router was asked lately.
-    is_behind : callable, optional
+    is_outdated : callable, optional
         Returns whether this router's configuration is older than it may be.
-    read_ends : callable, optional
+    read_offsets : callable, optional
         Returns up to which offset this router has read each partition of the ledgers.
     limit_news : callable, optional
         Returns what this router tells of upstreams' limits.
 
     Attributes
     ----------
-    on_heard : callable
+    on_update : callable
         Told each time records of others were taken.
     on_limits : callable
         Told what another router tells of upstreams' limits.
@@ -172,14 +172,14 @@
         options: RosterOptions,
         rng: Random,
         load_of: Callable[[], float] = lambda: 0.0,
-        is_behind: Callable[[], bool] = lambda: False,
-        read_ends: Callable[[], tuple[int, ...]] = tuple,
+        is_outdated: Callable[[], bool] = lambda: False,
+        read_offsets: Callable[[], tuple[int, ...]] = tuple,
         limit_news: Callable[[], tuple[LimitNews, ...]] = tuple,
     ) -> None:
-        self.on_heard: Callable[[], None] = lambda: None
+        self.on_update: Callable[[], None] = lambda: None
         self.on_limits: Callable[[tuple[LimitNews, ...]], None] = lambda news: None
         self._limit_news = limit_news
-        self._read_ends = read_ends
+        self._read_offsets = read_offsets
         self._lived_at: dict[tuple[str, str], float] = {}
         self._named_at_rise: dict[tuple[str, str], float] = {}
         self._store = store
@@ -188,17 +188,19 @@
         self._options = options
         self._heard_by_instance: dict[str, _Heard] = {}
         self._unreadable: set[str] = set()
-        feed_options = FeedOptions(wait_s=options.beat_s, pause_s=options.read_pause_s)
+        feed_options = FeedOptions(
+            wait_s=options.heartbeat_interval_s, pause_s=options.read_pause_s
+        )
         self._feed = Feed(store, options.topic, feed_options, rng, self._take)
         self._load_of = load_of
-        self._is_behind = is_behind
+        self._is_outdated = is_outdated
         self._beat_at = -math.inf
         self._named: list[RouterEndpoint] = []
         self._traffic = RouterTraffic()
         self._named_at = -math.inf
         self._announcing = True
         self._writing = trio.Lock()
-        self._said_behind = False
+        self._announced_outdated = False
         self._copy_until = -math.inf
         self._risen = trio.Event()
         store.on_era_rise(self._note_rise)
@@ -213,7 +215,7 @@
         while True:
             if is_ready() and self._is_beat_due():
                 await self._beat()
-            with trio.move_on_after(self._options.beat_s):
+            with trio.move_on_after(self._options.heartbeat_interval_s):
                 await self._risen.wait()
                 self._risen = trio.Event()
 
@@ -223,19 +225,23 @@
         self._lived_at = _recent(self._lived_at, now)
         self._lived_at |= {self._life_of(endpoint): now for endpoint in self.live()}
         self._named_at_rise = _recent(self._named_at_rise, now)
-        self._named_at_rise |= {self._life_of(endpoint): now for endpoint in self.named()}
+        self._named_at_rise |= {self._life_of(endpoint): now for endpoint in self.advertised()}
         self._copy_until = now + COPY_S
         self._beat_at = -math.inf
         self._risen.set()
 
     def _is_beat_due(self) -> bool:
-        if self._is_behind() != self._said_behind:
+        if self._is_outdated() != self._announced_outdated:
             return True
         since = trio.current_time() - self._beat_at
-        return since > self._interval_s() - self._options.beat_s / 2
+        return since > self._interval_s() - self._options.heartbeat_interval_s / 2
 
     def _interval_s(self) -> float:
-        return self._options.beat_s if self.is_named() else self._options.idle_beat_s
+        return (
+            self._options.heartbeat_interval_s
+            if self.is_advertised()
+            else self._options.idle_heartbeat_interval_s
+        )
 
     async def _beat(self) -> None:
         async with self._writing:
@@ -245,13 +251,13 @@
     async def _write(self) -> None:
         member = msgspec.structs.replace(
             self._member,
-            beat=self._member.beat + 1,
+            heartbeat_seq=self._member.heartbeat_seq + 1,
             load=round(self._load_of(), 1),
-            beat_s=self._interval_s(),
-            behind=self._is_behind(),
+            heartbeat_interval_s=self._interval_s(),
+            outdated=self._is_outdated(),
             era=self._store.era or 0,
             first_era=self._member.first_era or self._store.era or 0,
-            read=self._read_ends(),
+            read=self._read_offsets(),
             limits=self._limit_news()[:MOST_LIMITS],
         )
         self._member = member
@@ -262,7 +268,7 @@
         except LogUnavailable as err:
             logger.bind(reason=err.detail).debug("beat-lost")
             return
-        self._said_behind = member.behind
+        self._announced_outdated = member.outdated
 
     async def leave(self) -> None:
         """Say that callers are to go elsewhere."""
@@ -284,7 +290,7 @@
                 continue
             self._unreadable.discard(record.key)
             self._hear(record.key, member, now)
-        self.on_heard()
+        self.on_update()
 
     def _tell_unreadable(self, instance: str, error: str) -> None:
         """Say once of an instance that its record names no router."""
@@ -310,7 +316,7 @@
         if member.limits and instance != self._instance and not self._is_backlog(now):
             self.on_limits(member.limits)
         endpoint = RouterEndpoint(instance, member.address, member.failure_domain)
-        candidate = Candidate(endpoint, member.capacity, member.load, member.behind)
+        candidate = Candidate(endpoint, member.capacity, member.load, member.outdated)
         self._heard_by_instance[instance] = _Heard(member, now, candidate)
 
     def _is_backlog(self, now: float) -> bool:
@@ -330,15 +336,15 @@
         """Trio time of the last read to the topic's end."""
         return self._feed.freshness.read_at
 
-    def is_announced_behind(self) -> bool:
+    def is_announced_outdated(self) -> bool:
         """Return whether this router's last record that was written says that it is behind."""
-        return self._said_behind
+        return self._announced_outdated
 
     def live(self) -> list[RouterEndpoint]:
         """Return the routers that serve, whether callers are sent to them or not."""
         return [candidate.endpoint for candidate in self._candidates()]
 
-    def named(self) -> list[RouterEndpoint]:
+    def advertised(self) -> list[RouterEndpoint]:
         """Return the routers that callers are sent to, as of a moment ago."""
         self._name()
         return self._named
@@ -361,13 +367,13 @@
         self._traffic = router_traffic(candidates, named)
         self._named_at = now
 
-    def is_named(self) -> bool:
+    def is_advertised(self) -> bool:
         """Return whether callers are sent to this router."""
-        return any(endpoint.name == self._instance for endpoint in self.named())
+        return any(endpoint.name == self._instance for endpoint in self.advertised())
 
     # -- eras ---------------------------------------------------------------------------------
 
-    def read_up_to(self, partition: int, shown: Mapping[tuple[str, str], int]) -> float:
+    def min_read_offset(self, partition: int, reported: Mapping[tuple[str, str], int]) -> float:
         """Return up to which offset all others in use have read a partition of the ledgers.
 
         Infinite where there are none. One that has not written in the store's era has read nothing
@@ -376,15 +382,15 @@
         Parameters
         ----------
         partition : int
-        shown : mapping of tuple of str to int
+        reported : mapping of tuple of str to int
             What the ledgers themselves tell, by instance and incarnation.
         """
         least = math.inf
-        for endpoint in self.named():
+        for endpoint in self.advertised():
             heard = self._heard_by_instance.get(endpoint.name)
             if heard and endpoint.name != self._instance and heard.member.first_era:
                 life = (endpoint.name, heard.member.incarnation)
-                read = max(shown.get(life, 0), self._read_by(heard.member, partition))
+                read = max(reported.get(life, 0), self._read_by(heard.member, partition))
                 least = min(least, read)
         return least
 
@@ -393,7 +399,7 @@
             return 0
         return member.read[partition]
 
-    def gone(self, era: int, opened: int) -> int:
+    def count_missing(self, era: int, last_opened: int) -> int:
         """Return how many routers may have held budgets and were not heard in an era.
 
         A process that lived while grants were made knows who else did. Others know those that the
@@ -403,29 +409,29 @@
         ----------
         era : int
             The store's.
-        opened : int
+        last_opened : int
             The latest in which grants were made.
         """
         lives = self._lives()
         said = {life for life, member in lives.items() if member.era == era}
-        lived_through = {life for life in said if lives[life].first_era <= opened}
-        if self._member.first_era > opened or not self._lived_at:
+        lived_through = {life for life in said if lives[life].first_era <= last_opened}
+        if self._member.first_era > last_opened or not self._lived_at:
             return len(lives.keys() - lived_through - self._left())
         known = {name for name, _ in self._lived_at}
         unknown = {name for name, _ in said - lived_through} - known
         return len(self._lived_at.keys() - said - self._left()) + len(unknown)
 
-    def knows_former(self, era: int, opened: int) -> bool:
+    def has_survivor(self, era: int, last_opened: int) -> bool:
         """Return whether one that callers were sent to while grants were made was heard in an era.
 
         Parameters
         ----------
-        era, opened : int
-            See `gone`.
+        era, last_opened : int
+            See `count_missing`.
         """
         lives = self._lives()
         return any(
-            life in lives and lives[life].era == era and lives[life].first_era <= opened
+            life in lives and lives[life].era == era and lives[life].first_era <= last_opened
             for life in self._named_at_rise
         )
 
@@ -447,12 +453,12 @@
 
     # -- who callers are sent to ---------------------------------------------------------------
 
-    def is_stood_in_for(self) -> bool:
+    def has_current_substitute(self) -> bool:
         """Return whether callers are sent to others, with the newest configuration among them."""
-        if self.is_named():
+        if self.is_advertised():
             return False
-        heard = [self._heard_by_instance.get(endpoint.name) for endpoint in self.named()]
-        return any(router is not None and not router.member.behind for router in heard)
+        heard = [self._heard_by_instance.get(endpoint.name) for endpoint in self.advertised()]
+        return any(router is not None and not router.member.outdated for router in heard)
 
     def _candidates(self) -> list[Candidate]:
         silent_since = self._silence_began()
@@ -464,7 +470,9 @@
 
     def _patience_s(self, member: Member) -> float:
         """Return how long a member may be silent: some of its own beats."""
-        return self._options.dead_after_s * max(1.0, member.beat_s / self._options.beat_s)
+        return self._options.dead_after_s * max(
+            1.0, member.heartbeat_interval_s / self._options.heartbeat_interval_s
+        )
 
     def _silence_began(self) -> float:
         """Return now, or the time at which the store was lost: silence counts up to there."""
--- a/railtide/membership/router_selection.py
+++ b/railtide/membership/router_selection.py
@@ -34,14 +34,14 @@
         Requests a second that its instance can carry.
     load : float
         Requests a second that it was asked lately.
-    behind : bool
+    outdated : bool
         Whether it knows of a newer configuration and does not have it.
     """
 
     endpoint: RouterEndpoint
     capacity: float
     load: float
-    behind: bool = False
+    outdated: bool = False
 
 
 @dataclass(frozen=True)
@@ -124,9 +124,9 @@
     needed = sum(candidate.load for candidate in candidates) / options.max_utilization
     chosen: list[RouterEndpoint] = []
     capacity = 0.0
-    current = [candidate for candidate in candidates if not candidate.behind]
-    behind = [candidate for candidate in candidates if candidate.behind]
-    for candidate in _by_domain_in_turn(current) + _by_domain_in_turn(behind):
+    current = [candidate for candidate in candidates if not candidate.outdated]
+    outdated = [candidate for candidate in candidates if candidate.outdated]
+    for candidate in _by_domain_in_turn(current) + _by_domain_in_turn(outdated):
         if len(chosen) >= options.min_routers and capacity >= needed:
             break
         chosen.append(candidate.endpoint)
--- a/railtide/membership/tests/test_newest_for_backlog.py
+++ b/railtide/membership/tests/test_newest_for_backlog.py
@@ -39,7 +39,7 @@
         number += 1
         for router in range(ROUTERS):
             beat(store, f"edge-delta-a-{router}", number)
-        await trio.sleep(ROSTER.beat_s)
+        await trio.sleep(ROSTER.heartbeat_interval_s)
 
 
 class TestDeadRouters:
--- a/railtide/membership/tests/test_roster.py
+++ b/railtide/membership/tests/test_roster.py
@@ -44,10 +44,10 @@
     name: str,
     load: float,
     capacity: float = 100.0,
-    is_behind: Callable[[], bool] = lambda: False,
+    is_outdated: Callable[[], bool] = lambda: False,
 ) -> Roster:
     member = Member(f"{name}-1", f"{name}:1", "z", 0, capacity)
-    return Roster(store, name, member, OPTIONS, Random(1), lambda: load, is_behind)
+    return Roster(store, name, member, OPTIONS, Random(1), lambda: load, is_outdated)
 
 
 @asynccontextmanager
@@ -65,14 +65,14 @@
 class TestNaming:
     async def test_all_routers_name_the_same_few(self, autojump_clock) -> None:
         async with fleet(0.0, MemoryStore()) as made:
-            chosen = {tuple(endpoint.name for endpoint in each.named()) for each in made}
+            chosen = {tuple(endpoint.name for endpoint in each.advertised()) for each in made}
             assert len(chosen) == 1
             assert len(chosen.pop()) == LEAST
-            assert sum(each.is_named() for each in made) == LEAST
+            assert sum(each.is_advertised() for each in made) == LEAST
 
     async def test_load_names_more(self, autojump_clock) -> None:
         async with fleet(20.0, MemoryStore()) as made:
-            assert len(made[0].named()) == 5
+            assert len(made[0].advertised()) == 5
 
     async def test_router_that_is_not_named_writes_less_often_and_counts_as_alive(
         self, autojump_clock
@@ -92,12 +92,12 @@
         async with trio.open_nursery() as nursery:
             scopes = {name: await start(nursery, each) for name, each in made.items()}
             await trio.sleep(SETTLED_S)
-            named = [endpoint.name for endpoint in made["r0"].named()]
+            named = [endpoint.name for endpoint in made["r0"].advertised()]
             scopes[named[0]].cancel()
             await trio.sleep(OPTIONS.dead_after_s + 3)
             survivor = made[named[1]]
-            assert named[0] not in [endpoint.name for endpoint in survivor.named()]
-            assert len(survivor.named()) == LEAST
+            assert named[0] not in [endpoint.name for endpoint in survivor.advertised()]
+            assert len(survivor.advertised()) == LEAST
             nursery.cancel_scope.cancel()
 
 
@@ -106,44 +106,48 @@
 
     async def test_another_is_named_in_its_place_until_it_is_current(self, autojump_clock) -> None:
         store = MemoryStore()
-        behind: set[str] = set()
+        outdated: set[str] = set()
         made = {
-            f"r{n}": loaded(store, f"r{n}", 0.0, is_behind=lambda n=n: f"r{n}" in behind)
+            f"r{n}": loaded(store, f"r{n}", 0.0, is_outdated=lambda n=n: f"r{n}" in outdated)
             for n in range(FLEET)
         }
         async with trio.open_nursery() as nursery:
             for each in made.values():
                 await start(nursery, each)
             await trio.sleep(SETTLED_S)
-            named = made["r0"].named()
-            behind.add(named[0].name)
+            named = made["r0"].advertised()
+            outdated.add(named[0].name)
             await trio.sleep(SETTLED_S)
-            assert len(made["r0"].named()) == LEAST
-            assert named[0] not in made["r0"].named()
+            assert len(made["r0"].advertised()) == LEAST
+            assert named[0] not in made["r0"].advertised()
             assert len(made["r0"].live()) == FLEET
-            behind.clear()
+            outdated.clear()
             await trio.sleep(SETTLED_S)
-            assert made["r0"].named() == named
+            assert made["r0"].advertised() == named
             nursery.cancel_scope.cancel()
 
     async def test_all_are_named_as_before_where_all_are(self, autojump_clock) -> None:
         store = MemoryStore()
-        behind: list[bool] = []
-        made = [loaded(store, f"r{n}", 0.0, is_behind=lambda: bool(behind)) for n in range(FLEET)]
+        outdated: list[bool] = []
+        made = [
+            loaded(store, f"r{n}", 0.0, is_outdated=lambda: bool(outdated)) for n in range(FLEET)
+        ]
         async with trio.open_nursery() as nursery:
             for each in made:
                 await start(nursery, each)
             await trio.sleep(SETTLED_S)
-            named = made[0].named()
-            behind.append(True)
+            named = made[0].advertised()
+            outdated.append(True)
             await trio.sleep(SETTLED_S)
-            assert made[0].named() == named
+            assert made[0].advertised() == named
             nursery.cancel_scope.cancel()
 
     async def test_idle_router_says_so_within_a_beat(self, autojump_clock) -> None:
         store = MemoryStore()
-        behind: list[bool] = []
-        made = [loaded(store, f"r{n}", 0.0, is_behind=lambda: bool(behind)) for n in range(FLEET)]
+        outdated: list[bool] = []
+        made = [
+            loaded(store, f"r{n}", 0.0, is_outdated=lambda: bool(outdated)) for n in range(FLEET)
+        ]
         async with trio.open_nursery() as nursery:
             for each in made:
                 await start(nursery, each)
@@ -151,9 +155,9 @@
             written = store.topic(OPTIONS.topic).end
             while store.topic(OPTIONS.topic).end < written + FLEET:
                 await trio.sleep(0.05)
-            behind.append(True)
-            await trio.sleep(OPTIONS.beat_s + 0.1)
-            assert all(each.is_announced_behind() for each in made)
+            outdated.append(True)
+            await trio.sleep(OPTIONS.heartbeat_interval_s + 0.1)
+            assert all(each.is_announced_outdated() for each in made)
             await trio.sleep(SETTLED_S)
             written = store.topic(OPTIONS.topic).end
             await trio.sleep(30)
--- a/railtide/membership/tests/test_roster_eras.py
+++ b/railtide/membership/tests/test_roster_eras.py
@@ -16,7 +16,7 @@
 def reading(store: MemoryStore, name: str, *ends: int, life: str = "1") -> Roster:
     """Return a router's roster that says up to where it has read the ledgers."""
     member = Member(f"{name}-{life}", f"{name}:1", name, 0)
-    return Roster(store, name, member, OPTIONS, Random(1), read_ends=lambda: ends)
+    return Roster(store, name, member, OPTIONS, Random(1), read_offsets=lambda: ends)
 
 
 class TestReading:
@@ -27,8 +27,8 @@
             for each in (made, other):
                 await start(nursery, each)
             await trio.sleep(SETTLED_S)
-            assert (made.read_up_to(0, {}), made.read_up_to(1, {})) == (8, 5)
-            assert other.read_up_to(0, {}) == 1
+            assert (made.min_read_offset(0, {}), made.min_read_offset(1, {})) == (8, 5)
+            assert other.min_read_offset(0, {}) == 1
             nursery.cancel_scope.cancel()
 
     async def test_ledgers_may_tell_of_more(self, autojump_clock) -> None:
@@ -38,8 +38,8 @@
             for each in (made, other):
                 await start(nursery, each)
             await trio.sleep(SETTLED_S)
-            assert made.read_up_to(0, {("b", "b-1"): 11}) == 11
-            assert made.read_up_to(0, {("b", "b-0"): 11}) == 8
+            assert made.min_read_offset(0, {("b", "b-1"): 11}) == 11
+            assert made.min_read_offset(0, {("b", "b-0"): 11}) == 8
             nursery.cancel_scope.cancel()
 
     async def test_router_that_is_alone_waits_for_nobody(self, autojump_clock) -> None:
@@ -48,7 +48,7 @@
         async with trio.open_nursery() as nursery:
             await start(nursery, made)
             await trio.sleep(SETTLED_S)
-            assert made.read_up_to(0, {}) == math.inf
+            assert made.min_read_offset(0, {}) == math.inf
             nursery.cancel_scope.cancel()
 
     async def test_silent_one_is_waited_for_until_it_counts_as_dead(self, autojump_clock) -> None:
@@ -60,9 +60,9 @@
             await trio.sleep(SETTLED_S)
             stopped.cancel()
             await trio.sleep(OPTIONS.dead_after_s - 1.5)
-            assert made.read_up_to(0, {}) == 8
+            assert made.min_read_offset(0, {}) == 8
             await trio.sleep(3.0)
-            assert made.read_up_to(0, {}) == math.inf
+            assert made.min_read_offset(0, {}) == math.inf
             nursery.cancel_scope.cancel()
 
     async def test_beat_of_a_former_era_tells_nothing(self, autojump_clock) -> None:
@@ -75,7 +75,7 @@
             stopped.cancel()
             store.roll_back(store.copy())
             await trio.sleep(1.0)
-            assert made.read_up_to(0, {}) == 0
+            assert made.min_read_offset(0, {}) == 0
             nursery.cancel_scope.cancel()
 
     async def test_router_of_a_former_release_is_not_waited_for(self, autojump_clock) -> None:
@@ -87,8 +87,8 @@
                 former = ["b-1", "b:1", "z", beat, 10.0, 0.0, 1.0, False]
                 store.put(OPTIONS.topic, "b", msgspec.msgpack.encode(former))
                 await trio.sleep(1.0)
-            assert "b" in [endpoint.name for endpoint in made.named()]
-            assert made.read_up_to(0, {}) == math.inf
+            assert "b" in [endpoint.name for endpoint in made.advertised()]
+            assert made.min_read_offset(0, {}) == math.inf
             nursery.cancel_scope.cancel()
 
 
@@ -102,7 +102,10 @@
             await trio.sleep(SETTLED_S)
             store.roll_back(store.copy())
             await trio.sleep(2.0)
-            assert (made.gone(2, opened=1), made.knows_former(2, opened=1)) == (0, True)
+            assert (made.count_missing(2, last_opened=1), made.has_survivor(2, last_opened=1)) == (
+                0,
+                True,
+            )
             nursery.cancel_scope.cancel()
 
     async def test_router_that_died_is(self, autojump_clock) -> None:
@@ -115,7 +118,10 @@
             stopped.cancel()
             store.roll_back(store.copy())
             await trio.sleep(2.0)
-            assert (made.gone(2, opened=1), made.knows_former(2, opened=1)) == (1, True)
+            assert (made.count_missing(2, last_opened=1), made.has_survivor(2, last_opened=1)) == (
+                1,
+                True,
+            )
             nursery.cancel_scope.cancel()
 
     async def test_process_that_was_replaced_is(self, autojump_clock) -> None:
@@ -129,7 +135,7 @@
             store.roll_back(store.copy())
             await start(nursery, reading(store, "b", life="2"))
             await trio.sleep(2.0)
-            assert made.gone(2, opened=1) == 1
+            assert made.count_missing(2, last_opened=1) == 1
             nursery.cancel_scope.cancel()
 
     async def test_process_that_nobody_had_heard_of_is(self, autojump_clock) -> None:
@@ -142,7 +148,7 @@
             store.roll_back(store.copy())
             await start(nursery, reading(store, "b"))
             await trio.sleep(2.0)
-            assert made.gone(2, opened=1) == 1
+            assert made.count_missing(2, last_opened=1) == 1
             nursery.cancel_scope.cancel()
 
     async def test_router_that_had_left_is_not(self, autojump_clock) -> None:
@@ -158,7 +164,7 @@
             await trio.sleep(2.0)
             store.roll_back(copy)
             await trio.sleep(2.0)
-            assert made.gone(2, opened=1) == 0
+            assert made.count_missing(2, last_opened=1) == 0
             nursery.cancel_scope.cancel()
 
     async def test_one_that_starts_in_the_era_misses_all_that_the_copy_shows(
@@ -175,7 +181,10 @@
             fresh = reading(store, "a", life="2")
             await start(nursery, fresh)
             await trio.sleep(2.0)
-            assert (fresh.gone(2, opened=1), fresh.knows_former(2, opened=1)) == (2, False)
+            assert (
+                fresh.count_missing(2, last_opened=1),
+                fresh.has_survivor(2, last_opened=1),
+            ) == (2, False)
             nursery.cancel_scope.cancel()
 
     async def test_it_does_not_miss_those_that_lived_through(self, autojump_clock) -> None:
@@ -190,7 +199,10 @@
             fresh = reading(store, "a", life="2")
             await start(nursery, fresh)
             await trio.sleep(2.0)
-            assert (fresh.gone(2, opened=1), fresh.knows_former(2, opened=1)) == (1, False)
+            assert (
+                fresh.count_missing(2, last_opened=1),
+                fresh.has_survivor(2, last_opened=1),
+            ) == (1, False)
             nursery.cancel_scope.cancel()
 
     async def test_one_of_an_era_that_was_never_open_knows_nothing(self, autojump_clock) -> None:
@@ -210,5 +222,8 @@
             await trio.sleep(2.0)
             store.roll_back(copy)
             await trio.sleep(2.0)
-            assert (fresh[0].gone(3, opened=1), fresh[0].knows_former(3, opened=1)) == (2, False)
+            assert (
+                fresh[0].count_missing(3, last_opened=1),
+                fresh[0].has_survivor(3, last_opened=1),
+            ) == (2, False)
             nursery.cancel_scope.cancel()
--- a/railtide/membership/tests/test_router_selection.py
+++ b/railtide/membership/tests/test_router_selection.py
@@ -22,9 +22,9 @@
     domain: str = "a",
     capacity: float = 100.0,
     load: float = 1.0,
-    behind: bool = False,
+    outdated: bool = False,
 ):
-    return Candidate(RouterEndpoint(name, f"{name}:1", domain), capacity, load, behind)
+    return Candidate(RouterEndpoint(name, f"{name}:1", domain), capacity, load, outdated)
 
 
 def names(candidates: list[Candidate], options: SelectionOptions = OPTIONS) -> list[str]:
@@ -92,7 +92,7 @@
     def test_are_named_only_where_the_current_ones_dont_carry_the_load(
         self, fleet: list[Candidate]
     ) -> None:
-        current = [c for c in fleet if not c.behind]
+        current = [c for c in fleet if not c.outdated]
         chosen = names(fleet)
         if set(chosen) <= {c.endpoint.name for c in current}:
             return
@@ -103,18 +103,18 @@
 
     @given(fleet=FLEETS)
     def test_are_named_where_all_are_behind(self, fleet: list[Candidate]) -> None:
-        behind = [replace(c, behind=True) for c in fleet]
-        current = [replace(c, behind=False) for c in fleet]
-        assert names(behind) == names(current)
+        outdated = [replace(c, outdated=True) for c in fleet]
+        current = [replace(c, outdated=False) for c in fleet]
+        assert names(outdated) == names(current)
 
     def test_largest_gives_way_to_current_ones(self) -> None:
-        fleet = [candidate("large", "a", 400.0, behind=True)]
+        fleet = [candidate("large", "a", 400.0, outdated=True)]
         fleet += [candidate("a1", "a"), candidate("b1", "b")]
         assert sorted(names(fleet, SelectionOptions(min_routers=2))) == ["a1", "b1"]
 
     def test_one_joins_a_single_current_router(self) -> None:
         """The loss of one router of those that are named has to leave one."""
-        fleet = [candidate("a1", "a"), candidate("b1", "b", behind=True)]
+        fleet = [candidate("a1", "a"), candidate("b1", "b", outdated=True)]
         assert names(fleet, SelectionOptions(min_routers=2)) == ["a1", "b1"]
 
 
--- a/railtide/platform/tests/test_narrow_store.py
+++ b/railtide/platform/tests/test_narrow_store.py
@@ -168,7 +168,7 @@
         """Their reads go on for longer, beside others; that the store is away is known before."""
         link = NarrowLink(LINK_BYTES_PER_S)
         async with world(link=link) as w:
-            await until(lambda: w.node.roster.is_named() and w.node.treasury.reachable)
+            await until(lambda: w.node.roster.is_advertised() and w.node.treasury.reachable)
             link.hold()
             await until(lambda: not w.node.treasury.reachable, NOTICE_S)
             link.lose_open()
--- a/railtide/platform/tests/test_outdated_view.py
+++ b/railtide/platform/tests/test_outdated_view.py
@@ -236,11 +236,11 @@
         async with world(store=ReluctantStore()) as w:
             await until(lambda: w.node.addresses("z"))
             await keep_back(w, with_new_route())
-            await until(lambda: w.node.roster.is_announced_behind())
+            await until(lambda: w.node.roster.is_announced_outdated())
             await trio.sleep(w.node.options.roster.dead_after_s + 1)
             assert [endpoint.name for endpoint in w.node.addresses("z")] == ["i1"]
             w.store.keeps_back = False
-            await until(lambda: not w.node.roster.is_announced_behind())
+            await until(lambda: not w.node.roster.is_announced_outdated())
 
     async def test_store_that_is_merely_away_makes_no_router_unready(
         self, monkeypatch: pytest.MonkeyPatch
@@ -330,7 +330,7 @@
             assert narrow.node.snapshot.version == 1
             assert {w.node.snapshot.version for w in wide} == {2}
             assert len(wide[0].node.roster.live()) == 3
-            await until(lambda: not narrow.node.roster.is_announced_behind(), 3 * WAIT_S)
+            await until(lambda: not narrow.node.roster.is_announced_outdated(), 3 * WAIT_S)
             assert narrow.node.snapshot.version == 2
 
     async def test_one_that_breaks_off_is_not_forgotten(self) -> None:
@@ -426,7 +426,7 @@
             assert len(engine.ran) == ran
             assert (await wide[0].ask("/safe/x")).status == 200
             await until_in_force(narrow, 2)
-            await until(lambda: not narrow.node.roster.is_announced_behind())
+            await until(lambda: not narrow.node.roster.is_announced_outdated())
             assert (await narrow.ask("/safe/x")).status == 200
 
     async def test_routers_that_are_all_behind_serve_by_it(
@@ -446,7 +446,7 @@
                 await router.add_engine(f"e{number}")
             await until(lambda: all(len(r.node.roster.live()) == 3 for r in routers))
             publish(routers[0], 2, self.TRANSFER_S)
-            await until(lambda: all(r.node.roster.is_announced_behind() for r in routers))
+            await until(lambda: all(r.node.roster.is_announced_outdated() for r in routers))
             await trio.sleep(1.5)  # until each has read of the others
             assert [(await r.ask("/safe/x")).status for r in routers] == [200, 200, 200]
             assert [r.node.snapshot.version for r in routers] == [1, 1, 1]
@@ -465,7 +465,7 @@
             await until(lambda: len(narrow.node.roster.live()) == 2)
             publish(narrow, 2, self.TRANSFER_S)
             await until(lambda: wide.node.snapshot.version == 2)
-            await until(lambda: narrow.node.roster.is_announced_behind())
+            await until(lambda: narrow.node.roster.is_announced_outdated())
             await trio.sleep(1.5)  # until it has read its own record
             assert narrow.node.snapshot.version == 1
             assert (await narrow.ask("/safe/x")).status == 200
--- a/railtide/platform/tests/test_stated_limits.py
+++ b/railtide/platform/tests/test_stated_limits.py
@@ -31,7 +31,7 @@
     async def test_it_is_known_and_told_in_a_line(self, lines) -> None:
         async with world() as w:
             engine = await w.add_engine("e1")
-            await until(w.node.roster.is_named)
+            await until(w.node.roster.is_advertised)
             for limit in ("40", "20.5", None):
                 engine.limit = limit
                 await body_of(await w.ask("/safe/x"))
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -400,8 +400,10 @@
     Mutant(
         "slow-beats-taken-for-death",
         "membership/roster.py",
-        "return self._options.dead_after_s * max(1.0, member.beat_s / self._options.beat_s)",
-        "return self._options.dead_after_s / 3",
+        "return self._options.dead_after_s * max(\n"
+        "            1.0, member.heartbeat_interval_s / self._options.heartbeat_interval_s\n"
+        "        )\n",
+        "return self._options.dead_after_s / 3\n",
         (MEMBERSHIP,),
     ),
     Mutant(
@@ -1442,28 +1444,28 @@
     Mutant(
         "router-that-is-behind-is-named-like-others",
         "membership/router_selection.py",
-        "_by_domain_in_turn(current) + _by_domain_in_turn(behind)",
+        "_by_domain_in_turn(current) + _by_domain_in_turn(outdated)",
         "_by_domain_in_turn(candidates)",
         (MEMBERSHIP,),
     ),
     Mutant(
         "none-is-named-where-all-are-behind",
         "membership/router_selection.py",
-        "_by_domain_in_turn(current) + _by_domain_in_turn(behind)",
+        "_by_domain_in_turn(current) + _by_domain_in_turn(outdated)",
         "_by_domain_in_turn(current)",
         (MEMBERSHIP,),
     ),
     Mutant(
         "router-does-not-say-that-it-is-behind",
         "membership/roster.py",
-        "behind=self._is_behind(),",
-        "behind=False,",
+        "outdated=self._is_outdated(),",
+        "outdated=False,",
         (MEMBERSHIP,),
     ),
     Mutant(
         "being-behind-waits-for-the-next-beat",
         "membership/roster.py",
-        "if self._is_behind() != self._said_behind:",
+        "if self._is_outdated() != self._announced_outdated:",
         "if False:",
         (MEMBERSHIP,),
     ),
@@ -1547,8 +1549,8 @@
     Mutant(
         "lost-word-of-being-behind-counts-as-said",
         "membership/roster.py",
-        "            return\n        self._said_behind = member.behind\n",
-        "        self._said_behind = member.behind\n",
+        "            return\n        self._announced_outdated = member.outdated\n",
+        "        self._announced_outdated = member.outdated\n",
         (MEMBERSHIP,),
     ),
     Mutant(
@@ -1694,14 +1696,14 @@
     Mutant(
         "routers-that-are-all-behind-refuse-all",
         "membership/roster.py",
-        "        if self.is_named():\n            return False\n",
+        "        if self.is_advertised():\n            return False\n",
         "",
         (f"{OUTDATED}::TestReplacedState",),
     ),
     Mutant(
         "routers-that-are-behind-stand-in-for-each-other",
         "membership/roster.py",
-        "return any(router is not None and not router.member.behind for router in heard)",
+        "return any(router is not None and not router.member.outdated for router in heard)",
         "return bool(heard)",
         (f"{OUTDATED}::TestReplacedState",),
     ),
@@ -2136,7 +2138,7 @@
     Mutant(
         "copy-shows-who-lives",
         "membership/roster.py",
-        "        lived_through = {life for life in said if lives[life].first_era <= opened}\n",
+        "        lived_through = {life for life in said if lives[life].first_era <= last_opened}\n",
         "        lived_through = said\n",
         (ROSTER_ERAS,),
     ),
@@ -2212,7 +2214,7 @@
     Mutant(
         "process-of-an-era-that-was-never-open-knows-the-former",
         "membership/roster.py",
-        "lives[life].era == era and lives[life].first_era <= opened",
+        "lives[life].era == era and lives[life].first_era <= last_opened",
         "lives[life].era == era",
         (FLEET, ROSTER_ERAS),
     ),
