--- a/railtide/edge/node.py
+++ b/railtide/edge/node.py
@@ -166,7 +166,7 @@
             FeedOptions(wait_s=options.configuration_wait_s, pause_s=options.upstream_pause_s),
             rng,
             self._take_upstreams,
-            self._pools.listed.keep_only,
+            self._pools.listed.retain,
             self._upstream_pause_s,
         )
         self._crashes = CrashRegistry(
@@ -363,7 +363,7 @@
     def _keep_drains(self, keys: set[str]) -> None:
         """Take the keys of all orders that there are."""
         domains = {self._sources.drained_domain_of(key) for key in keys}
-        self._pools.drained.keep_only(domains - {None})
+        self._pools.drained.retain(domains - {None})
 
     def _apply(self, snapshot: Snapshot) -> None:
         held = self._version()
@@ -385,8 +385,8 @@
             try:
                 self._pools.listed.put(self._sources.upstream_of(record))
             except InvalidObject as err:
-                self._pools.listed.put_unreadable(record.key, err.detail)
-        self._pools.listed.settle()
+                self._pools.listed.mark_unreadable(record.key, err.detail)
+        self._pools.listed.apply_pending()
 
     def _lapse_until(self) -> float:
         """Return until when a removed record may have lapsed with the store away."""
--- a/railtide/edge/pools.py
+++ b/railtide/edge/pools.py
@@ -82,8 +82,8 @@
 
     def settle(self) -> None:
         """Drop what is gone by now: upstreams, and orders that were not written again."""
-        self.listed.settle()
-        self.drained.settle()
+        self.listed.apply_pending()
+        self.drained.apply_pending()
 
     def _set_pool(self, pool: str, instances: list[Instance]) -> None:
         if pool not in self.schedulers_by_pool:
@@ -129,7 +129,7 @@
             scheduler.notices.take_rest(upstream.name, notice.rest_s)
         if notice.leaving:
             self.listed.note_leaving(upstream)
-            self.listed.settle()
+            self.listed.apply_pending()
 
     def _scheduler_of_life(self, upstream: Instance) -> PoolScheduler | None:
         """Return the scheduler of an upstream's pool if it knows this life of the upstream."""
--- a/railtide/membership/drained_domains.py
+++ b/railtide/membership/drained_domains.py
@@ -55,7 +55,7 @@
         if domain in self.names:
             self._set(self.names - {domain})
 
-    def keep_only(self, domains: set[str]) -> None:
+    def retain(self, domains: set[str]) -> None:
         """Take all orders that there are; one that is missing was taken back, or is in no copy."""
         for domain in self.names - domains:
             if trio.current_time() < self._copy_until:
@@ -63,7 +63,7 @@
             else:
                 self.remove(domain)
 
-    def settle(self) -> None:
+    def apply_pending(self) -> None:
         """End the orders that were not written again in time."""
         now = trio.current_time()
         for domain in [name for name, until in self._missing_until.items() if now >= until]:
--- a/railtide/membership/tests/test_newest_for_backlog.py
+++ b/railtide/membership/tests/test_newest_for_backlog.py
@@ -83,7 +83,7 @@
             FeedOptions(pause_s=0.3),
             Random(1),
             self._take,
-            self.listed.keep_only,
+            self.listed.retain,
         )
 
     def _changed(self, pool: str, instances: list[Instance]) -> None:
@@ -97,7 +97,7 @@
             name = record.key
             state = InstanceState(record.value.split(b" ")[0].decode())
             self.listed.put(Instance(name, name, f"{name}:1", "z", "engine", "p", state=state))
-        self.listed.settle()
+        self.listed.apply_pending()
 
     def _lapse_until(self) -> float:
         """As in `EdgeNode._lapse_until`."""
@@ -114,7 +114,7 @@
             nursery.start_soon(self.feed.run)
             while True:
                 await trio.sleep(0.1)
-                self.listed.settle()
+                self.listed.apply_pending()
 
 
 def say(store: MemoryStore, name: str, state: InstanceState) -> None:
--- a/railtide/membership/tests/test_upstream_list.py
+++ b/railtide/membership/tests/test_upstream_list.py
@@ -34,34 +34,34 @@
         case.listed.put(engine("a"))
         case.listed.put(engine("b"))
         case.listed.remove("a")
-        case.listed.settle()
+        case.listed.apply_pending()
         assert case.names_by_pool == {"p": ["b"]}
 
     async def test_lapsed_upstream_that_returns_in_time_stays(self, autojump_clock) -> None:
         case = Case(lapse_until=trio.current_time() + 2)
         case.listed.put(engine("a"))
         case.listed.remove("a")
-        case.listed.settle()
+        case.listed.apply_pending()
         assert case.names_by_pool == {"p": ["a"]}
         await trio.sleep(1)
         case.listed.put(engine("a"))
         await trio.sleep(5)
-        case.listed.settle()
+        case.listed.apply_pending()
         assert case.names_by_pool == {"p": ["a"]}
 
     async def test_lapsed_upstream_that_stays_missing_goes(self, autojump_clock) -> None:
         case = Case(lapse_until=trio.current_time() + 2)
         case.listed.put(engine("a"))
-        case.listed.keep_only(set())
+        case.listed.retain(set())
         await trio.sleep(2.1)
-        case.listed.settle()
+        case.listed.apply_pending()
         assert case.names_by_pool == {"p": []}
 
     async def test_leaving_is_sticky(self, autojump_clock) -> None:
         case = Case()
         case.listed.put(replace(engine("a"), state=InstanceState.LEAVING))
         case.listed.put(engine("a"))
-        case.listed.settle()
+        case.listed.apply_pending()
         assert case.states == {"a": InstanceState.LEAVING}
 
 
@@ -70,31 +70,31 @@
         case = Case()
         case.listed.put(replace(engine("a", born=5), state=LEAVING))
         case.listed.put(engine("a", born=6))
-        case.listed.settle()
+        case.listed.apply_pending()
         assert case.states == {"a": LIVE}
 
     async def test_late_record_of_a_former_life_changes_nothing(self, autojump_clock) -> None:
         case = Case()
         case.listed.put(engine("a", born=6))
         case.listed.put(replace(engine("a", born=5), state=LEAVING))
-        case.listed.settle()
+        case.listed.apply_pending()
         assert case.states == {"a": LIVE}
 
     async def test_record_without_the_birth_that_its_id_tells_names_none(self, autojump_clock):
         case = Case()
         case.listed.put(engine("a", born=6))
         case.listed.put(engine("a"))
-        case.listed.settle()
+        case.listed.apply_pending()
         assert case.states == {"a": LEAVING}
         case.listed.put(engine("a", born=6))
-        case.listed.settle()
+        case.listed.apply_pending()
         assert case.states == {"a": LIVE}
 
     async def test_first_told_birth_is_a_new_life(self, autojump_clock) -> None:
         case = Case()
         case.listed.put(replace(engine("a"), state=LEAVING))
         case.listed.put(engine("a", born=6))
-        case.listed.settle()
+        case.listed.apply_pending()
         assert case.states == {"a": LIVE}
 
 
@@ -103,26 +103,26 @@
         case = Case()
         case.listed.put(engine("a"))
         case.listed.put(engine("b"))
-        case.listed.put_unreadable("a", "no json")
-        case.listed.settle()
+        case.listed.mark_unreadable("a", "no json")
+        case.listed.apply_pending()
         assert case.states == {"a": LEAVING, "b": LIVE}
         case.listed.put(engine("a"))
-        case.listed.settle()
+        case.listed.apply_pending()
         assert case.states == {"a": LIVE, "b": LIVE}
 
     async def test_leaving_outlasts_an_unreadable_entry(self, autojump_clock) -> None:
         case = Case()
         case.listed.put(replace(engine("a"), state=LEAVING))
-        case.listed.put_unreadable("a", "no json")
+        case.listed.mark_unreadable("a", "no json")
         case.listed.put(engine("a"))
-        case.listed.settle()
+        case.listed.apply_pending()
         assert case.states == {"a": LEAVING}
 
     async def test_unknown_id_stays_unknown(self, autojump_clock, lines) -> None:
         case = Case()
         for _ in range(3):
-            case.listed.put_unreadable("a", "no json")
-        case.listed.settle()
+            case.listed.mark_unreadable("a", "no json")
+        case.listed.apply_pending()
         assert case.names_by_pool == {}
         assert [line["event"] for line in lines] == ["upstream-unreadable"]
 
@@ -132,7 +132,7 @@
         case.listed.put(engine("a"))
         case.listed.put(replace(engine("a", pool="foreign"), state=LEAVING))
         case.listed.put(engine("a"))
-        case.listed.settle()
+        case.listed.apply_pending()
         assert (case.states, case.names_by_pool) == ({"a": LIVE}, {"p": ["a"], "foreign": []})
 
     async def test_leaving_outlasts_an_entry_of_another_pool(self, autojump_clock) -> None:
@@ -140,7 +140,7 @@
         case.listed.put(replace(engine("a"), state=LEAVING))
         case.listed.put(engine("a", pool="foreign"))
         case.listed.put(engine("a"))
-        case.listed.settle()
+        case.listed.apply_pending()
         assert case.states == {"a": LEAVING}
 
 
@@ -149,13 +149,13 @@
         case = Case()
         leaving = replace(engine("a", born=5), state=LEAVING, address="a:2")
         case.listed.put(replace(leaving, seq=9))
-        case.listed.settle()
+        case.listed.apply_pending()
         case.listed.note_rise()
         case.listed.put(replace(engine("a", pool="q", born=5), seq=8))
-        case.listed.settle()
+        case.listed.apply_pending()
         assert case.names_by_pool == {"p": ["a"]}
         case.listed.put(replace(engine("a", pool="q", born=5), seq=9))
-        case.listed.settle()
+        case.listed.apply_pending()
         assert case.names_by_pool == {"p": [], "q": ["a"]}
 
     async def test_older_record_is_no_sign_of_life(self, autojump_clock) -> None:
@@ -165,7 +165,7 @@
         case.listed.note_rise()
         case.listed.put(replace(engine("a", born=5), seq=8))
         await trio.sleep(2.1)
-        case.listed.settle()
+        case.listed.apply_pending()
         assert case.names_by_pool == {"p": []}
 
     async def test_next_life_counts_anew(self, autojump_clock) -> None:
@@ -174,7 +174,7 @@
         case.listed.note_rise()
         case.listed.put(replace(engine("a", pool="q", born=6), seq=1))
         case.listed.put(replace(engine("a", pool="r", born=6), seq=2))
-        case.listed.settle()
+        case.listed.apply_pending()
         assert case.names_by_pool == {"p": [], "q": [], "r": ["a"]}
 
     async def test_life_that_tells_no_birth_may_count_anew(self, autojump_clock) -> None:
@@ -182,16 +182,16 @@
         case.listed.put(replace(engine("a"), seq=9))
         case.listed.note_rise()
         case.listed.put(replace(engine("a", pool="q"), seq=1))
-        case.listed.settle()
+        case.listed.apply_pending()
         assert case.names_by_pool == {"p": [], "q": ["a"]}
 
     async def test_record_that_only_counts_on_is_no_change(self, autojump_clock) -> None:
         case = Case()
         case.listed.put(replace(engine("a", born=5), seq=1))
-        case.listed.settle()
+        case.listed.apply_pending()
         case.names_by_pool.clear()
         case.listed.put(replace(engine("a", born=5), seq=2))
-        case.listed.settle()
+        case.listed.apply_pending()
         assert case.names_by_pool == {}
 
     async def test_life_that_is_gone_is_not_brought_back_by_a_copy(self, autojump_clock) -> None:
@@ -200,28 +200,28 @@
         case.listed.note_rise()
         await trio.sleep(GONE_S - 1)
         case.listed.put(replace(engine("a", born=5), seq=9))
-        case.listed.settle()
+        case.listed.apply_pending()
         assert case.names_by_pool == {"p": []}
 
     async def test_life_that_writes_on_comes_back(self, autojump_clock) -> None:
         case = self._with_a_gone_life()
         case.listed.note_rise()
         case.listed.put(replace(engine("a", born=5), seq=10))
-        case.listed.settle()
+        case.listed.apply_pending()
         assert case.names_by_pool == {"p": ["a"]}
 
     async def test_next_life_comes_back(self, autojump_clock) -> None:
         case = self._with_a_gone_life()
         case.listed.note_rise()
         case.listed.put(replace(engine("a", born=6), seq=1))
-        case.listed.settle()
+        case.listed.apply_pending()
         assert case.names_by_pool == {"p": ["a"]}
 
     async def test_former_life_of_one_that_is_gone_does_not_come_back(self, autojump_clock) -> None:
         case = self._with_a_gone_life()
         case.listed.note_rise()
         case.listed.put(replace(engine("a", born=4), seq=99))
-        case.listed.settle()
+        case.listed.apply_pending()
         assert case.names_by_pool == {"p": []}
 
     async def test_without_a_rise_a_lower_number_counts_as_ever(self, autojump_clock) -> None:
@@ -229,13 +229,13 @@
         case = Case()
         case.listed.put(replace(engine("a", pool="q", born=5), seq=10**9))
         case.listed.put(replace(engine("a", born=5), seq=8))
-        case.listed.settle()
+        case.listed.apply_pending()
         assert case.names_by_pool == {"p": ["a"], "q": []}
 
     async def test_without_a_rise_a_life_comes_back_as_ever(self, autojump_clock) -> None:
         case = self._with_a_gone_life()
         case.listed.put(replace(engine("a", born=5), seq=9))
-        case.listed.settle()
+        case.listed.apply_pending()
         assert case.names_by_pool == {"p": ["a"]}
 
     async def test_life_is_forgotten_in_time(self, autojump_clock) -> None:
@@ -243,7 +243,7 @@
         case.listed.note_rise()
         await trio.sleep(GONE_S + 0.1)
         case.listed.put(replace(engine("a", born=5), seq=9))
-        case.listed.settle()
+        case.listed.apply_pending()
         assert case.names_by_pool == {"p": ["a"]}
 
     @staticmethod
@@ -251,7 +251,7 @@
         case = Case()
         case.listed.put(replace(engine("a", born=5), seq=9))
         case.listed.remove("a")
-        case.listed.settle()
+        case.listed.apply_pending()
         assert case.names_by_pool == {"p": []}
         return case
 
@@ -263,10 +263,10 @@
         case = Case()
         case.listed.put(engine("a"))
         case.listed.note_leaving(engine("a"))
-        case.listed.settle()
+        case.listed.apply_pending()
         assert case.states == {"a": LEAVING}
         case.listed.put(replace(engine("a"), address="a:2"))
-        case.listed.settle()
+        case.listed.apply_pending()
         assert case.states == {"a": LEAVING}
 
     async def test_another_life_or_pool_is_not_bound(self, autojump_clock) -> None:
@@ -274,7 +274,7 @@
         case.listed.put(engine("a", born=2))
         case.listed.note_leaving(engine("a", born=1))
         case.listed.note_leaving(engine("a", pool="q", born=2))
-        case.listed.settle()
+        case.listed.apply_pending()
         assert case.states == {"a": LIVE}
 
     async def test_it_holds_for_a_record_that_lapsed_and_is_back(self, autojump_clock) -> None:
@@ -282,11 +282,11 @@
         case.listed.put(engine("a"))
         case.listed.note_leaving(engine("a"))
         case.listed.remove("a")
-        case.listed.settle()
+        case.listed.apply_pending()
         await trio.sleep(60)
-        case.listed.settle()
+        case.listed.apply_pending()
         case.listed.put(engine("a"))
-        case.listed.settle()
+        case.listed.apply_pending()
         assert case.states == {"a": LEAVING}
 
     async def test_it_is_forgotten_long_after_the_upstream_is_gone(self, autojump_clock) -> None:
@@ -295,7 +295,7 @@
             case.listed.put(engine(f"a{number}"))
             case.listed.note_leaving(engine(f"a{number}"))
             case.listed.remove(f"a{number}")
-        case.listed.settle()
+        case.listed.apply_pending()
         await trio.sleep(LEFT_KEPT_S + 1)
-        case.listed.settle()
+        case.listed.apply_pending()
         assert case.listed._left_by_name == {}
--- a/railtide/membership/tests/test_warm_up.py
+++ b/railtide/membership/tests/test_warm_up.py
@@ -23,7 +23,7 @@
 
     def put(self, cold_s: float, **fields: object) -> None:
         self.listed.put(replace(engine("a"), cold_s=cold_s, **fields))
-        self.listed.settle()
+        self.listed.apply_pending()
 
     @property
     def cold_for_s(self) -> float:
@@ -65,5 +65,5 @@
         case = Case()
         case.listed.put(replace(engine("a", born=1), cold_s=9.0))
         case.listed.put(engine("a", born=2))
-        case.listed.settle()
+        case.listed.apply_pending()
         assert case.cold_for_s == 0.0
--- a/railtide/membership/upstream_list.py
+++ b/railtide/membership/upstream_list.py
@@ -106,7 +106,7 @@
         """Take a record. Leaving is sticky for a life in its pool."""
         known = self._by_name.get(instance.name)
         if known and known.born and not instance.born:
-            self.put_unreadable(instance.name, "the birth that this upstream tells is missing")
+            self.mark_unreadable(instance.name, "the birth that this upstream tells is missing")
             return
         if known and instance.born < known.born:
             return
@@ -174,7 +174,7 @@
             self._by_name[instance.name] = replace(known, state=InstanceState.LEAVING)
             self._dirty.add(known.pool)
 
-    def put_unreadable(self, name: str, error: str) -> None:
+    def mark_unreadable(self, name: str, error: str) -> None:
         """Take a record that names no upstream, though its key is the name of one."""
         if name in self._unreadable:
             return
@@ -191,12 +191,12 @@
         elif name not in self._missing_by_name:
             self._missing_by_name[name] = self._lapse_until()
 
-    def keep_only(self, names: set[str]) -> None:
+    def retain(self, names: set[str]) -> None:
         """Take a whole list: what is not in it was removed."""
         for name in self._by_name.keys() - names:
             self.remove(name)
 
-    def settle(self) -> None:
+    def apply_pending(self) -> None:
         """Drop what is gone and tell of the pools that changed."""
         now = trio.current_time()
         for name, until in list(self._missing_by_name.items()):
--- a/railtide/platform/tests/test_kept_pages.py
+++ b/railtide/platform/tests/test_kept_pages.py
@@ -191,7 +191,7 @@
             assert offsets == sorted(offsets)
 
     async def test_key_that_was_told_of_is_not_told_as_gone(self) -> None:
-        """`UpstreamList.keep_only` takes each engine out that is not among the keys."""
+        """`UpstreamList.retain` takes each engine out that is not among the keys."""
         store = two_keys()
         async with following(store) as followed:
             await go_on_behind_a_break(store, followed)
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -2305,7 +2305,7 @@
     Mutant(
         "drain-that-ended-in-a-lost-history-goes-on",
         "edge/node.py",
-        "self._pools.drained.keep_only(domains - {None})",
+        "self._pools.drained.retain(domains - {None})",
         "pass",
         (DRAINS,),
     ),
@@ -2500,7 +2500,7 @@
     Mutant(
         "leaving-in-an-answer-waits-for-the-next-look",
         "edge/pools.py",
-        "note_leaving(upstream)\n            self.listed.settle()\n",
+        "note_leaving(upstream)\n            self.listed.apply_pending()\n",
         "note_leaving(upstream)\n",
         (LEAVING,),
     ),
