--- a/railtide/journal/entries.py
+++ b/railtide/journal/entries.py
@@ -1,7 +1,8 @@
-"""Entries, batches and verdicts, and their encoding (MessagePack by msgspec).
+"""Entries, batches and verdicts, and their MessagePack encoding.
 
-An entry keeps its record undecoded, so that a kind that this version does not know is kept,
-passed on and skipped, never misread. Fields are only ever added at the end of a record.
+An entry carries its record undecoded, so a process keeps, forwards and skips kinds of records that
+its version does not know instead of misreading them. For compatibility, fields are only ever added
+at the end of a record.
 """
 
 import msgspec
@@ -46,7 +47,7 @@
 
 
 class VerdictCode:
-    """What the fold says of an entry."""
+    """Outcomes that the fold assigns to an entry."""
 
     OK = "ok"
     SKIPPED = "skipped"
@@ -63,16 +64,16 @@
 
 
 class Entry(Struct, frozen=True, array_like=True):
-    """One record with its writer's place in its own sequence.
+    """One record with its position in its writer's sequence.
 
     Attributes
     ----------
     holder : str
-        The writer's incarnation.
+        Id of the writer's incarnation.
     seq : int
-        From 1, without gaps; a repeat is dropped by the fold.
+        Sequence number, from 1 without gaps; the fold drops duplicates.
     acked : int
-        Verdicts up to this one have reached the writer.
+        Highest sequence number up to which the writer has received all verdicts.
     record : msgspec.Raw
         The encoded record.
     """
@@ -84,10 +85,11 @@
 
 
 class Verdict(Struct, frozen=True, array_like=True):
-    """What the log's order decided about an entry.
+    """The fold's decision on an entry.
 
-    `available` is the budget left (for a refused grant) or the version in force (for a refused
-    proposal); `request_id`, `outcome` and `answer` tell of the request that has the key.
+    `available` is the remaining budget (for a grant or a top-up) or the current version (for a
+    proposal). `request_id`, `outcome` and `answer` describe the request that already holds the
+    idempotency key. `fenced` tells the writer that its holder may start nothing new.
     """
 
     seq: int
@@ -116,7 +118,7 @@
 
 
 def decode_record(entry: Entry) -> Record | None:
-    """Return the decoded record, or None for a kind or shape that this version does not know.
+    """Return the decoded record, or None if its kind or shape is unknown to this version.
 
     Examples
     --------
@@ -130,17 +132,17 @@
 
 
 def batch_to_bytes(entries: list[Entry]) -> bytes:
-    """Return the bytes of one group append."""
+    """Return the encoding of a batch of entries, the payload of one log record."""
     return _encoder.encode(entries)
 
 
 def batch_from_bytes(data: bytes) -> list[Entry]:
-    """Return the entries of one group append.
+    """Return the entries of an encoded batch.
 
     Raises
     ------
     UnreadableBatch
-        If the bytes are no batch.
+        The bytes are not an encoded batch.
     """
     try:
         return _batch_decoder.decode(data)
--- a/railtide/journal/feed.py
+++ b/railtide/journal/feed.py
@@ -1,7 +1,7 @@
-"""A feed: follows a keyed topic from its newest records on.
+"""Follows a keyed topic, starting from the newest record of each key.
 
-It goes back only with the store: an offset belongs to the era in which it was read. In another one
-the feed starts anew from the newest records, and is not current until it has them.
+An offset is only valid in the era of the store in which it was read. When the era changes, the feed
+starts again from the newest records and is not current until it has read them.
 """
 
 from collections.abc import Callable
@@ -20,23 +20,24 @@
 __all__ = ["Feed", "FeedOptions"]
 
 BACKOFF_S = 0.1
-BACKOFF_MOST_S = 0.8
-"""Waits after a failed call; a store that is back is found within the second that the desired
-state has to spare."""
+MAX_BACKOFF_S = 0.8
+"""Bounds of the waits after failed calls; the desired state must arrive within a second of the
+store's return."""
 RESTART_S = 0.02
-"""First wait after a history that had expired before it was read, doubled where the next has too:
-a topic that is written faster than it is read would else be asked for without a pause."""
-TELL_LOST_S = 3.0
-"""Between two lines on a topic that stays lost: whether nothing comes or answers break off is told
-by the latest reason. Four topics of a router make some 80 lines a minute."""
+"""First wait before a restart after the history had expired, doubled with each further expiry.
+Without it, a topic that is written faster than it is read would be requested continuously."""
+LOST_LOG_INTERVAL_S = 3.0
+"""Time between two log lines about a topic that stays lost. Each gives the latest reason, which
+tells a store that doesn't answer from one whose answers break off. A router with four topics
+writes about 80 lines a minute."""
 LARGE_BYTES = 65_536
-"""An answer up to this size is read as it is: a tenth of a second of a link of 5 Mbit/s."""
-ENCODED = 4 / 3
-"""Size of the newest records, which come in base64, against the same records in a read."""
+"""Answers up to this size are always read to the end: 0.1 s on a link of 5 Mbit/s."""
+BASE64_RATIO = 4 / 3
+"""Size of the newest records, which are base64-encoded, relative to the same records in a read."""
 
 
-class _Superseded(Exception):  # noqa: N818 - a turn of the reading, not an error
-    """Records that newer ones replace are waiting: the newest of each key are less to read."""
+class _Superseded(Exception):  # noqa: N818 - control flow, not an error
+    """Many of the unread records are superseded: reading the newest of each key takes less."""
 
 
 @dataclass(frozen=True)
@@ -46,13 +47,13 @@
     Attributes
     ----------
     wait_s : float
-        How long a read waits for a record. It bounds how late a silent store is noticed.
+        How long a read waits for a new record. It bounds how late an unresponsive store is noticed.
     pause_s : float
-        Least time between two reads, so that a busy topic costs a bounded number of calls.
+        Pause after each read, which bounds the number of calls for a busy topic.
     skip_superseded : bool
-        Whether a record is of no use once there is a newer one of its key, and a key that is
-        missing says nothing. Where a removal, or the last word before it, tells something, each
-        record is read.
+        Whether a record is of no use once its key has a newer one, and the absence of a key means
+        nothing. Where a removal, or the last record before it, carries information, this must be
+        False, and each record is read.
     """
 
     wait_s: float = 2.0
@@ -69,22 +70,25 @@
     topic : str
     options : FeedOptions
     rng : random.Random
+        Source of the jitter in retries.
     on_records : callable
-        Told of new records, in order; after a gap in the history, of the newest of each key.
+        Called with new records, in order; after a gap in the history, with the newest of each key.
     on_newest : callable, optional
-        Told of all keys that exist, each time the newest records were read.
+        Called with the set of all existing keys each time the newest records were read.
     pause_s_of : callable, optional
-        Returns the least time between two reads now, in place of the option.
+        Returns the current pause after a read; replaces `FeedOptions.pause_s`.
 
     Attributes
     ----------
     reachable : bool
         Whether the last call was answered.
     caught_up : bool
-        Whether the topic was read to its end once.
+        Whether the topic has been read to its end at least once.
     lost_at, restored_at : float
-        Trio time of the latest loss of the store, and of its latest return. A store that came back
-        older counts as lost and back: what is missing from it may come again.
+        Trio time of the latest loss of the store, and of its latest return. A rise of the store's
+        era counts as a loss and a return, since records missing from the copy may be written again.
+    next_offset : int
+        Offset from which the next read starts.
     freshness : Freshness
     """
 
@@ -105,46 +109,47 @@
         self.next_offset = 0
         self.freshness = Freshness()
         self._era: int | None = None
-        self._is_former = False
+        self._is_offset_former = False
         self._keys: set[str] = set()
-        self._may_leave = True
-        self._left = False
+        self._may_abandon = True
+        self._abandoned = False
         self._store = store
         self._topic = topic
         self._options = options
         self._on_records = on_records
         self._on_newest = on_newest
         self._pause_s_of = pause_s_of or (lambda: options.pause_s)
-        self._backoff = Backoff(BACKOFF_S, BACKOFF_MOST_S, rng)
-        self._restarts = Backoff(RESTART_S, BACKOFF_MOST_S, rng)
-        self._told_lost_at = -float("inf")
-        self._reading: trio.CancelScope | None = None
-        self._fresh: trio.Event | None = None
-        store.on_era_rise(self._give_up_reading)
+        self._backoff = Backoff(BACKOFF_S, MAX_BACKOFF_S, rng)
+        self._restarts = Backoff(RESTART_S, MAX_BACKOFF_S, rng)
+        self._lost_logged_at = -float("inf")
+        self._read_scope: trio.CancelScope | None = None
+        self._refreshed: trio.Event | None = None
+        store.on_era_rise(self._cancel_read)
 
     def refresh(self) -> trio.Event:
-        """Read what is there now, on a new connection, and return an event set once it is taken.
+        """Read up to the topic's present end; return an event that is set once this is done.
 
-        A read that has waited since before is given up: what it waits on may be gone. One whose
-        answer comes goes on; if it is gone too, it stands still, and is given up for that.
+        A read that is still waiting for its answer is cancelled and repeated, since its connection
+        may be dead. A read whose answer has begun continues; if its connection is dead too, the
+        answer stalls and the read fails for that reason.
         """
-        if self._fresh is None:
-            self._fresh = trio.Event()
+        if self._refreshed is None:
+            self._refreshed = trio.Event()
         if not self.freshness.is_reading():
-            self._give_up_reading()
-        return self._fresh
+            self._cancel_read()
+        return self._refreshed
 
-    def _give_up_reading(self) -> None:
-        if self._reading:
-            self._reading.cancel()
+    def _cancel_read(self) -> None:
+        if self._read_scope:
+            self._read_scope.cancel()
 
     def is_current(self) -> bool:
-        """Return whether all that the store has told of is taken, and the store is heard."""
-        heard = self.caught_up and self.reachable and self._fresh is None
-        return heard and self.freshness.unread_since is None
+        """Return whether all records known to exist are processed and the store is reachable."""
+        is_heard = self.caught_up and self.reachable and self._refreshed is None
+        return is_heard and self.freshness.unread_since is None
 
     async def run(self) -> None:
-        """Follow for ever."""
+        """Follow the topic forever."""
         started = False
         while True:
             try:
@@ -157,7 +162,7 @@
                 started = False
             except (LogUnavailable, AppendConflict) as err:
                 self._note_lost(err)
-                started = self._go_back(started)
+                started = self._resume_abandoned(started)
                 await trio.sleep(self._backoff.next_wait())
             except RecordsExpired as err:
                 logger.bind(topic=self._topic, first=err.first).info("history-expired")
@@ -168,34 +173,40 @@
                 started = False
 
     def _note_rise(self, err: EraRisen) -> None:
-        """Record that what was read is of a former era; the newest records are read anew."""
+        """Record that the offset belongs to a former era; the newest records are read next."""
         self.freshness.note_newer()
-        self._left = False
-        if self.reachable and not self._is_former:
+        self._abandoned = False
+        if self.reachable and not self._is_offset_former:
             self.lost_at = trio.current_time()
-        self._is_former = True
+        self._is_offset_former = True
         logger.bind(topic=self._topic, offset=self.next_offset, reason=err.detail).debug(
             "offset-of-a-former-era"
         )
 
     def _check_era(self) -> None:
-        """Refuse to read on from an offset of another era than the store's."""
+        """Raise `EraRisen` if the offset was read in another era than the store's present one."""
         if self._era is None:
             self._era = self._store.era
         if self._era != self._store.era:
-            raise EraRisen(f"read in era {self._era}, the store is in {self._store.era}")
+            raise EraRisen(f"offset read in era {self._era}, store is in era {self._store.era}")
 
-    def _go_back(self, started: bool) -> bool:
-        """Read on where an answer was left if what replaces it breaks off; return whether started.
+    def _resume_abandoned(self, started: bool) -> bool:
+        """Resume the read that was abandoned for the newest records if these failed.
 
-        Of an answer with records those that come whole are kept, of the newest only whole pages:
-        over a connection that breaks again and again the first of the two moves on. It ends with
-        one record: after one break of the newest, three replaced versions of 300 KB were read.
+        A read keeps each record that arrived complete, whereas the newest records are kept by whole
+        pages only. Over a connection that breaks repeatedly, only the read makes progress. The
+        resumed read ends with its first record: read to the end after one such failure, it fetched
+        three superseded versions of 300 KB.
+
+        Returns
+        -------
+        bool
+            Whether to continue with a read; otherwise the newest records are requested again.
         """
-        if started or not self._left:
+        if started or not self._abandoned:
             return started
-        self._left = False
-        self._may_leave = False
+        self._abandoned = False
+        self._may_abandon = False
         return True
 
     async def _read_newest(self) -> None:
@@ -210,52 +221,54 @@
         if self._on_newest:
             self._on_newest(set(self._keys))
         self.next_offset = page.end
-        self._left = False
+        self._abandoned = False
         self.caught_up = True
-        self.freshness.note_newer()  # what came since the first page is read next
+        self.freshness.note_newer()  # records appended since the first page are read next
 
     def _note_era(self) -> None:
-        """Record that what comes now is of the store's era, and so is the offset after it."""
+        """Record that the records and the offset just read belong to the store's present era."""
         self._era = self._store.era
-        if self._is_former:
-            self._is_former = False
+        if self._is_offset_former:
+            self._is_offset_former = False
             self.restored_at = trio.current_time()
 
     async def _follow(self) -> None:
-        """Read on for ever.
+        """Read on from `next_offset` forever.
 
-        After a read that did not wait and brought nothing the next one begins at once: it is the
-        one that waits for news. With a pause between, a router that was just started learnt 1 s
-        late that an upstream leaves.
+        After a read that did not wait and returned no records, the next one, which waits for new
+        records, starts at once. With a pause between them, a newly started router learnt 1 s late
+        that an upstream was leaving.
         """
         while True:
             self._check_era()
-            fresh = self._fresh
-            progress = ReadProgress(self._note_begun, not self._may_leave, self._note_lost)
+            refreshed = self._refreshed
+            progress = ReadProgress(self._on_begun, not self._may_abandon, self._note_lost)
             self.freshness.watch(progress)
             wait_s = self._wait_s()
-            with trio.CancelScope() as self._reading:
+            with trio.CancelScope() as self._read_scope:
                 page = await self._store.read(
                     self._topic, self.next_offset, wait_s, progress=progress
                 )
-            if self._reading.cancelled_caught:
+            if self._read_scope.cancelled_caught:
                 continue
             self.freshness.watch(None)
             self._check_progress(page)
-            self._take(page)
-            if fresh is not None and page.next_offset >= page.end:
-                self._note_fresh(fresh)
+            self._accept(page)
+            if refreshed is not None and page.next_offset >= page.end:
+                self._note_refreshed(refreshed)
             if page.records or wait_s:
-                with trio.CancelScope() as self._reading:
+                with trio.CancelScope() as self._read_scope:
                     await trio.sleep(self._pause_s_of())
 
     def _check_progress(self, page: KeyedPage) -> None:
-        """Raise for an answer without the records that it tells of: asked again at once, it would
-        be the same."""
+        """Raise `LogUnavailable` for an answer that lacks the records that its end implies.
+
+        It is retried with backoff: an immediate retry would get the same answer.
+        """
         if page.next_offset <= self.next_offset < page.end:
-            raise LogUnavailable("the answer lacks the records that it tells of")
+            raise LogUnavailable("the answer lacks records before the end offset that it states")
 
-    def _take(self, page: KeyedPage) -> None:
+    def _accept(self, page: KeyedPage) -> None:
         self._note_reachable()
         for record in page.records:
             if record.value:
@@ -263,19 +276,20 @@
             else:
                 self._keys.discard(record.key)
         if page.records:
-            self._may_leave = True
+            self._may_abandon = True
             self._on_records(page.records)
         self.next_offset = max(self.next_offset, page.next_offset)
         self._restarts.reset()
         if page.next_offset >= page.end:
             self.freshness.note_complete()
 
-    def _note_begun(self, progress: ReadProgress) -> None:
-        """Record that an answer has begun; leave it if the newest records are less to read.
+    def _on_begun(self, progress: ReadProgress) -> None:
+        """Record that an answer has begun; abandon it if the newest records are less to read.
 
-        After an outage, or while versions come faster than a link carries them, each version was
-        read to its end though a newer one replaced it: two versions of 500 KB that waited took
-        1.6 s of a link of 5 Mbit/s, and a series of one each 0.33 s was never caught up with.
+        Without this, after an outage or while versions are written faster than the link carries
+        them, each version was read to its end although a newer one superseded it: two waiting
+        versions of 500 KB took 1.6 s on a link of 5 Mbit/s, and the feed never caught up with one
+        such version every 0.33 s.
         """
         waiting = progress.end - self.next_offset
         if waiting <= 0:
@@ -283,27 +297,26 @@
         self.freshness.note_newer()
         if not self._options.skip_superseded:
             return
-        large = progress.size is None or progress.size > LARGE_BYTES
+        is_large = progress.size is None or progress.size > LARGE_BYTES
         known = len(self._keys)
-        if large and known and waiting > max(1, known * ENCODED) and self._may_leave:
-            self._left = True
+        if is_large and known and waiting > max(1, known * BASE64_RATIO) and self._may_abandon:
+            self._abandoned = True
             raise _Superseded
 
-    def _note_fresh(self, fresh: trio.Event) -> None:
-        fresh.set()
-        if self._fresh is fresh:
-            self._fresh = None
+    def _note_refreshed(self, refreshed: trio.Event) -> None:
+        refreshed.set()
+        if self._refreshed is refreshed:
+            self._refreshed = None
 
     def _wait_s(self) -> float:
-        """Return how long a read waits for a record: not at all while one is known to be there.
-
-        Nor while the store counts as away.
+        """Return how long a read waits for a new record.
 
-        What was removed after its return is then told from what lapsed before it: the return was
-        noticed up to 2.3 s late where no record came (an upstream was sent work for so much longer
-        than it may be).
+        It does not wait while a record is known to exist, nor while the store counts as lost, so
+        that its return is noticed at once. That time separates records removed after the return
+        from those that lapsed before it. With a waiting read and no new record, the return was
+        noticed up to 2.3 s late, and a removed upstream was sent requests for as long.
         """
-        is_due = self._fresh is not None or self.freshness.unread_since is not None
+        is_due = self._refreshed is not None or self.freshness.unread_since is not None
         return self._options.wait_s if self.reachable and not is_due else 0.0
 
     def _note_reachable(self) -> None:
@@ -318,10 +331,10 @@
             self.reachable = False
             self.lost_at = trio.current_time()
             logger.bind(topic=self._topic, reason=err.detail).warning("store-lost")
-            self._told_lost_at = trio.current_time()
-        elif trio.current_time() - self._told_lost_at >= TELL_LOST_S:
+            self._lost_logged_at = trio.current_time()
+        elif trio.current_time() - self._lost_logged_at >= LOST_LOG_INTERVAL_S:
             lost_s = round(trio.current_time() - self.lost_at, 3)
             logger.bind(topic=self._topic, reason=err.detail, lost_s=lost_s).warning(
                 "store-still-lost"
             )
-            self._told_lost_at = trio.current_time()
+            self._lost_logged_at = trio.current_time()
--- a/railtide/journal/tests/test_silence_end.py
+++ b/railtide/journal/tests/test_silence_end.py
@@ -14,7 +14,7 @@
 from railtide.http.errors import Stalled
 from railtide.http.stall import StallWatch
 from railtide.journal.backoff import Backoff
-from railtide.journal.feed import BACKOFF_MOST_S, BACKOFF_S
+from railtide.journal.feed import BACKOFF_S, MAX_BACKOFF_S
 from railtide.journal.response_timeouts import ResponseTimeouts
 
 USUAL_S = 1.0
@@ -75,7 +75,7 @@
         return answered
 
     async def _feed(self, topic: str, wait_s: float, pause_s: float) -> None:
-        backoff = Backoff(BACKOFF_S, BACKOFF_MOST_S, self._rng)
+        backoff = Backoff(BACKOFF_S, MAX_BACKOFF_S, self._rng)
         reached = True
         while True:
             reached = await self._call(topic, f"read {topic}", wait_s if reached else 0.0)
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -95,7 +95,7 @@
         "claim-skipped",
         "journal/fold.py",
         "    if known and not record.exposed:\n"
-        "        return _say_key(state, entry, holder, known, record.digest)\n"
+        "        return _verdict_on_key(state, entry, holder, known, record.digest)\n"
         "    if _is_ended",
         "    if _is_ended",
         (FOLD,),
@@ -104,7 +104,7 @@
         "late-claim-of-a-fenced-holder-counted",
         "journal/fold.py",
         "    if _is_ended(holder) and not record.exposed:\n"
-        "        return _say(state, entry, holder, VerdictCode.FENCED)\n"
+        "        return _verdict_on(state, entry, holder, VerdictCode.FENCED)\n"
         "    balance = state.by_account.get(record.account)",
         "    balance = state.by_account.get(record.account)",
         (FOLD,),
@@ -210,8 +210,8 @@
     Mutant(
         "fence-without-comparing",
         "journal/fold.py",
-        "if not alive or target.last_seq != record.seen_seq:",
-        "if not alive:",
+        "if not is_active or target.last_seq != record.seen_seq:",
+        "if not is_active:",
         (FOLD,),
     ),
     Mutant(
@@ -1131,7 +1131,7 @@
     Mutant(
         "waiting-read-outlasts-a-suspension",
         "journal/feed.py",
-        "            self._reading.cancel()\n",
+        "            self._read_scope.cancel()\n",
         "            pass\n",
         (f"{PLATFORM}/test_waking.py",),
     ),
@@ -1612,15 +1612,15 @@
     Mutant(
         "newest-of-some-time-ago-count-as-current",
         "journal/feed.py",
-        "self.freshness.note_newer()  # what came",
-        "self.freshness.note_complete()  # what came",
+        "self.freshness.note_newer()  # records appended",
+        "self.freshness.note_complete()  # records appended",
         (f"{PLATFORM}/test_kept_pages.py",),
     ),
     Mutant(
         "rest-of-an-answer-is-waited-for",
         "journal/feed.py",
-        "is_due = self._fresh is not None or self.freshness.unread_since is not None",
-        "is_due = self._fresh is not None",
+        "is_due = self._refreshed is not None or self.freshness.unread_since is not None",
+        "is_due = self._refreshed is not None",
         ("railtide/journal/tests/test_feed_bad_answers.py",),
     ),
     Mutant(
@@ -1809,22 +1809,22 @@
     Mutant(
         "small-versions-are-not-read-in-order",
         "journal/feed.py",
-        "if large and known and waiting >",
+        "if is_large and known and waiting >",
         "if known and waiting >",
         (FEED,),
     ),
     Mutant(
         "only-version-is-not-read-as-it-is",
         "journal/feed.py",
-        "waiting > max(1, known * ENCODED)",
+        "waiting > max(1, known * BASE64_RATIO)",
         "waiting > 0",
         (FEED,),
     ),
     Mutant(
         "feed-is-current-with-a-version-under-way",
         "journal/feed.py",
-        "return heard and self.freshness.unread_since is None",
-        "return heard",
+        "return is_heard and self.freshness.unread_since is None",
+        "return is_heard",
         (FEED,),
     ),
     Mutant(
@@ -1851,21 +1851,21 @@
     Mutant(
         "records-of-new-keys-count-as-replaced",
         "journal/feed.py",
-        "if large and known and waiting",
-        "if large and waiting",
+        "if is_large and known and waiting",
+        "if is_large and waiting",
         (f"{NARROW}::TestBrokenAnswer::test_whole_records_of_a_read_are_not_read_again",),
     ),
     Mutant(
         "newest-are-begun-again-behind-each-break",
         "journal/feed.py",
-        "        self._left = False\n        self._may_leave = False\n        return True\n",
+        "        self._abandoned = False\n        self._may_abandon = False\n        return True\n",
         "        return False\n",
         (f"{NARROW}::TestBrokenAnswer::{BROKEN_NEWEST}",),
     ),
     Mutant(
         "read-is-left-again-before-it-has-moved-on",
         "journal/feed.py",
-        "        self._may_leave = False\n",
+        "        self._may_abandon = False\n",
         "",
         (f"{NARROW}::TestBrokenAnswer::{BROKEN_NEWEST}",),
     ),
@@ -1973,22 +1973,23 @@
     Mutant(
         "feed-is-current-behind-a-rise",
         "journal/feed.py",
-        'are read anew."""\n        self.freshness.note_newer()\n',
-        'are read anew."""\n',
+        'records are read next."""\n        self.freshness.note_newer()\n',
+        'records are read next."""\n',
         (FEED_ERAS,),
     ),
     Mutant(
         "rise-is-no-loss-of-the-store",
         "journal/feed.py",
-        "        if self.reachable and not self._is_former:\n",
+        "        if self.reachable and not self._is_offset_former:\n",
         "        if False:\n",
         (FEED_ERAS,),
     ),
     Mutant(
         "rise-is-no-return-of-the-store",
         "journal/feed.py",
-        "            self._is_former = False\n            self.restored_at = trio.current_time()\n",
-        "            self._is_former = False\n",
+        "            self._is_offset_former = False\n"
+        "            self.restored_at = trio.current_time()\n",
+        "            self._is_offset_former = False\n",
         (FEED_ERAS,),
     ),
     Mutant(
