--- a/railtide/budgets/log_budget_source.py
+++ b/railtide/budgets/log_budget_source.py
@@ -33,9 +33,9 @@
 )
 from railtide.budgets.messages import Grant, GrantReturn
 from railtide.configuration.models import AccountSettings
-from railtide.journal.entries import Code
-from railtide.journal.writer import Ticket, Writer
-from railtide.membership.messages import Close
+from railtide.journal.entries import VerdictCode
+from railtide.journal.writer import Submission, Writer
+from railtide.membership.messages import CloseHolder
 
 __all__ = ["Epoch", "LogReservation", "LogBudgetSource"]
 
@@ -138,7 +138,7 @@
     Parameters
     ----------
     open_epoch : callable
-        Returns a new epoch whose writer has submitted its `Open`.
+        Returns a new epoch whose writer has submitted its `OpenHolder`.
     log_reachable : callable
         Whether entries reach the log now.
     holders : callable
@@ -249,13 +249,13 @@
             with trio.move_on_at(until):
                 await known.changed.wait()
             return known.left is not None and known.left < need
-        ticket = self._ask(account, settings, need)
-        if ticket is None:
+        submission = self._ask(account, settings, need)
+        if submission is None:
             with trio.move_on_at(until):
                 await trio.sleep(RETRY_GRANT_S)
             return True
-        verdict = await ticket.wait_at_most(until - trio.current_time())
-        if verdict is None or verdict.code != Code.BUDGET_EXHAUSTED:
+        verdict = await submission.wait_at_most(until - trio.current_time())
+        if verdict is None or verdict.code != VerdictCode.BUDGET_EXHAUSTED:
             return False
         if verdict.available < need:
             with trio.move_on_at(until):
@@ -272,7 +272,7 @@
         if self.epoch.allocation(account).available < level and not known.asking and not dry:
             self._ask(account, settings, 0)
 
-    def _ask(self, account: str, settings: AccountSettings, need: int) -> Ticket | None:
+    def _ask(self, account: str, settings: AccountSettings, need: int) -> Submission | None:
         known = self._account(account)
         demand = Demand(need, known.rate, known.left, self._holders(settings))
         amount = self._sizing(settings).size(demand)
@@ -282,15 +282,15 @@
         record = Grant(account, amount, exposure_of(amount, settings.exposure_percent))
         return self.epoch.writer.submit(record)
 
-    def apply_grant_verdict(self, epoch: Epoch, ticket: Ticket) -> None:
+    def apply_grant_verdict(self, epoch: Epoch, submission: Submission) -> None:
         """Learn from a grant's verdict."""
-        record = ticket.record
+        record = submission.record
         if not isinstance(record, Grant):
             return
         known = self._account(record.account)
         known.asking = False
-        known.left = ticket.verdict.available
-        if ticket.verdict.ok:
+        known.left = submission.verdict.available
+        if submission.verdict.ok:
             self.grants += 1
             allocation = epoch.allocation(record.account)
             allocation.granted += record.amount
@@ -365,7 +365,7 @@
                 self.ended.remove(epoch)
             else:
                 writer.closed = True
-                writer.submit(Close())
+                writer.submit(CloseHolder())
 
     # -- rates --------------------------------------------------------------------------------
 
--- a/railtide/edge/freshness.py
+++ b/railtide/edge/freshness.py
@@ -135,7 +135,7 @@
         """Count an answer that the view was too old for; return when its caller may come back."""
         self._begin(version)
         self._answers += 1
-        left_s = self._feed.freshness.left_s()
+        left_s = self._feed.freshness.remaining_s()
         return SOON_S if left_s is None else min(left_s, self._most_retry_s)
 
     def look(self, version: int | None) -> None:
@@ -150,11 +150,11 @@
         return trio.current_time() - self._feed.freshness.read_at > self._wait_s + SLOW_ANSWER_S
 
     def _known_s(self) -> float:
-        since = self._feed.freshness.behind_since
+        since = self._feed.freshness.unread_since
         return 0.0 if since is None else trio.current_time() - since
 
     def _doubt(self) -> Doubt:
-        if self._feed.freshness.behind_since is not None:
+        if self._feed.freshness.unread_since is not None:
             return Doubt.NEWER_KNOWN
         if not self._feed.reachable:
             return Doubt.STORE_LOST
@@ -170,7 +170,7 @@
             self._feed.freshness.read_at if math.isfinite(self._feed.freshness.read_at) else now
         )
         self._answers = 0
-        left_s = self._feed.freshness.left_s()
+        left_s = self._feed.freshness.remaining_s()
         logger.bind(
             version=version,
             reason=self._doubt(),
--- a/railtide/edge/node.py
+++ b/railtide/edge/node.py
@@ -26,7 +26,7 @@
 from railtide.errors import RailtideError
 from railtide.journal.feed import Feed, FeedOptions
 from railtide.journal.keyed import KeyedRecord, KeyedStore
-from railtide.membership.addresses import Entrance, rendezvous_order
+from railtide.membership.addresses import RouterEndpoint, rendezvous_order
 from railtide.membership.identity import Identity
 from railtide.membership.instances import Instance
 from railtide.membership.roster import Member, Roster
@@ -132,7 +132,7 @@
             identity.address,
             RosterPeers(self.roster),
         )
-        self.roster.on_heard = self.budgets.recheck_waiting
+        self.roster.on_update = self.budgets.recheck_waiting
         self._pools = EdgePools(
             identity.instance,
             self.roster,
@@ -143,12 +143,12 @@
         )
         self.schedulers_by_pool = self._pools.schedulers_by_pool
         self.take_notice = self._pools.take_notice
-        store.on_rise(self._pools.listed.note_rise)
-        store.on_rise(self._pools.drained.note_rise)
+        store.on_era_rise(self._pools.listed.note_rise)
+        store.on_era_rise(self._pools.drained.note_rise)
         self._configuration_feed = Feed(
             store,
             sources.configuration_topic,
-            FeedOptions(wait_s=options.configuration_wait_s, newest_suffice=True),
+            FeedOptions(wait_s=options.configuration_wait_s, skip_superseded=True),
             rng,
             self._take_configuration,
             self._keep_drains,
@@ -159,14 +159,14 @@
             options.address_ttl_s,
             lambda: self._configuration_feed.reachable or self._upstream_feed.reachable,
         )
-        store.on_rise(self._freshness.note_rise)
+        store.on_era_rise(self._freshness.note_rise)
         self._upstream_feed = Feed(
             store,
             sources.upstream_topic,
             FeedOptions(wait_s=options.configuration_wait_s, pause_s=options.upstream_pause_s),
             rng,
             self._take_upstreams,
-            self._pools.listed.keep_only,
+            self._pools.listed.retain,
             self._upstream_pause_s,
         )
         self._crashes = CrashRegistry(
@@ -296,7 +296,7 @@
         ConfigurationOutdated
             Other routers serve by a newer version.
         """
-        if self._freshness.is_behind() and self.roster.is_stood_in_for():
+        if self._freshness.is_behind() and self.roster.has_current_substitute():
             raise self._freshness.replaced(self._version())
 
     def told_of(self, refusal: RailtideError) -> RailtideError:
@@ -336,11 +336,11 @@
         finally:
             self.open_calls -= 1
 
-    def addresses(self, failure_domain: str) -> list[Entrance]:
+    def addresses(self, failure_domain: str) -> list[RouterEndpoint]:
         """Return the routers that a caller may use, those of its failure domain first."""
-        named = list(self.roster.named())
+        named = list(self.roster.advertised())
         self._rng.shuffle(named)
-        named.sort(key=lambda entrance: entrance.failure_domain != failure_domain)
+        named.sort(key=lambda endpoint: endpoint.failure_domain != failure_domain)
         return named[: self.options.most_addresses]
 
     # -- what the store says ------------------------------------------------------------------
@@ -363,7 +363,7 @@
     def _keep_drains(self, keys: set[str]) -> None:
         """Take the keys of all orders that there are."""
         domains = {self._sources.drained_domain_of(key) for key in keys}
-        self._pools.drained.keep_only(domains - {None})
+        self._pools.drained.retain(domains - {None})
 
     def _apply(self, snapshot: Snapshot) -> None:
         held = self._version()
@@ -385,17 +385,17 @@
             try:
                 self._pools.listed.put(self._sources.upstream_of(record))
             except InvalidObject as err:
-                self._pools.listed.put_unreadable(record.key, err.detail)
-        self._pools.listed.settle()
+                self._pools.listed.mark_unreadable(record.key, err.detail)
+        self._pools.listed.apply_pending()
 
     def _lapse_until(self) -> float:
         """Return until when a removed record may have lapsed with the store away."""
         feed = self._upstream_feed
-        if not feed.caught_up or feed.back_at < feed.lost_at:
+        if not feed.caught_up or feed.restored_at < feed.lost_at:
             return trio.current_time() + RETURN_GRACE_S
-        if feed.lost_at == -float("inf") or trio.current_time() - feed.back_at > RECENT_LOSS_S:
+        if feed.lost_at == -float("inf") or trio.current_time() - feed.restored_at > RECENT_LOSS_S:
             return trio.current_time()
-        return feed.back_at + RETURN_GRACE_S
+        return feed.restored_at + RETURN_GRACE_S
 
     # -- upstreams that end -------------------------------------------------------------------
 
@@ -410,14 +410,14 @@
     # -- what the parts ask -------------------------------------------------------------------
 
     def _named_routers(self) -> list[str]:
-        return [entrance.name for entrance in self.roster.named()]
+        return [endpoint.name for endpoint in self.roster.advertised()]
 
     def _sharing_routers(self) -> int:
         """Return how many routers keep budgets in hand, 0 if this one is not to."""
-        return len(self.roster.named()) if self.roster.is_named() else 0
+        return len(self.roster.advertised()) if self.roster.is_advertised() else 0
 
     def _upstream_pause_s(self) -> float:
-        named = self.roster.is_named()
+        named = self.roster.is_advertised()
         return self.options.upstream_pause_s if named else self.options.idle_upstream_pause_s
 
     def _retries_of(self, pool: str) -> RetryBudget:
--- a/railtide/edge/tests/rollback_fleet.py
+++ b/railtide/edge/tests/rollback_fleet.py
@@ -16,10 +16,10 @@
 from railtide.budgets.spend_limit import ClockReading, Clocks
 from railtide.configuration.models import AccountSettings
 from railtide.edge.peers import RosterPeers
-from railtide.journal.eras import Eras
+from railtide.journal.eras import EraTracker
 from railtide.journal.errors import EraRisen, LogUnavailable
 from railtide.journal.keyed import KeyedPage, KeyedStore
-from railtide.journal.transfer import Transfer
+from railtide.journal.read_progress import ReadProgress
 from railtide.membership.roster import Member, Roster, RosterOptions
 from railtide.standins.keyed_store import MemoryStore
 from railtide.telemetry.counters import Counters
@@ -47,19 +47,19 @@
     def __init__(self, memory: MemoryStore) -> None:
         self.cut = False
         self._memory = memory
-        self._eras = Eras(Counters())
+        self._eras = EraTracker(Counters())
 
     @property
     def era(self) -> int | None:
         return self._eras.current
 
-    def on_rise(self, listener: Callable[[], None]) -> None:
-        self._eras.on_rise(listener)
+    def on_era_rise(self, listener: Callable[[], None]) -> None:
+        self._eras.on_era_rise(listener)
 
     async def newest(
-        self, topic: str, partition: int = 0, transfer: Transfer | None = None
+        self, topic: str, partition: int = 0, progress: ReadProgress | None = None
     ) -> KeyedPage:
-        return await self._call(lambda: self._memory.newest(topic, partition, transfer))
+        return await self._call(lambda: self._memory.newest(topic, partition, progress))
 
     async def read(
         self,
@@ -67,10 +67,10 @@
         start: int,
         wait_s: float,
         partition: int = 0,
-        transfer: Transfer | None = None,
+        progress: ReadProgress | None = None,
     ) -> KeyedPage:
         return await self._call(
-            lambda: self._memory.read(topic, start, wait_s, partition, transfer)
+            lambda: self._memory.read(topic, start, wait_s, partition, progress)
         )
 
     async def append(
@@ -97,8 +97,8 @@
         except Exception as err:
             error = err
         await self._check_way()
-        self._eras.take(str(self._memory.era))
-        self._eras.check(rises)
+        self._eras.accept(str(self._memory.era))
+        self._eras.check_unchanged(rises)
         if error:
             raise error
         return answer
@@ -154,7 +154,7 @@
             member,
             RosterOptions(),
             self.rng,
-            read_ends=lambda: self.budgets.read_offsets(),
+            read_offsets=lambda: self.budgets.read_offsets(),
         )
         self.budgets = LedgerBudgetSource(
             self.store,
@@ -167,7 +167,7 @@
             address=f"{self.name}:1",
             peers=RosterPeers(self.roster),
         )
-        self.roster.on_heard = self.budgets.recheck_waiting
+        self.roster.on_update = self.budgets.recheck_waiting
         self.budgets.set_prepaid({ACCOUNT: PREPAID})
         self.budgets.enable_preallocation()
         with trio.CancelScope() as self.scope:
@@ -177,7 +177,7 @@
                 await trio.sleep_forever()
 
     def _sharing(self) -> int:
-        return len(self.roster.named()) if self.roster.is_named() else 0
+        return len(self.roster.advertised()) if self.roster.is_advertised() else 0
 
     def kill(self) -> None:
         """End its process; nothing that it knew is left."""
--- a/railtide/edge/tests/test_freshness.py
+++ b/railtide/edge/tests/test_freshness.py
@@ -16,7 +16,7 @@
 from railtide.journal.feed import Feed, FeedOptions
 from railtide.journal.freshness import Freshness
 from railtide.journal.keyed import KeyedPage, KeyedRecord
-from railtide.journal.transfer import Transfer
+from railtide.journal.read_progress import ReadProgress
 from railtide.operators.codes import all_codes
 from railtide.requests.errors import UnknownRoute
 from railtide.standins.keyed_store import MemoryStore
@@ -34,7 +34,7 @@
         self.read_at = trio.current_time()
         self.left: float | None = None
 
-    def left_s(self) -> float | None:
+    def remaining_s(self) -> float | None:
         """Return what the test set."""
         return self.left
 
@@ -70,14 +70,14 @@
 
     async def test_is_not_current_while_newer_is_known_of(self, autojump_clock) -> None:
         feed, freshness = made()
-        feed.freshness.behind_since = trio.current_time()
+        feed.freshness.unread_since = trio.current_time()
         assert not freshness.is_current()
 
 
 class TestBehind:
     async def test_is_behind_once_newer_was_known_of_for_long(self, autojump_clock) -> None:
         feed, freshness = made()
-        feed.freshness.behind_since = trio.current_time()
+        feed.freshness.unread_since = trio.current_time()
         await trio.sleep(BEHIND_S - SLACK_S)
         assert not freshness.is_behind()
         await trio.sleep(2 * SLACK_S)
@@ -122,11 +122,11 @@
 
     async def test_short_one_without_a_refusal_says_nothing(self, lines, autojump_clock) -> None:
         feed, freshness = made()
-        feed.freshness.behind_since = trio.current_time()
+        feed.freshness.unread_since = trio.current_time()
         for _ in range(9):
             freshness.look(1)
             await trio.sleep(BEHIND_S / 10)
-        feed.freshness.behind_since = None
+        feed.freshness.unread_since = None
         feed.freshness.read_at = trio.current_time()
         freshness.look(2)
         assert lines == []
@@ -154,14 +154,14 @@
         start: int,
         wait_s: float,
         partition: int = 0,
-        transfer: Transfer | None = None,
+        progress: ReadProgress | None = None,
     ) -> KeyedPage:
         """Return records, if at all; see `KeyedStore.read`."""
         with trio.move_on_after(wait_s + self.SILENT_S):
             page = await super().read(topic, start, wait_s, partition)
             if self.silent:
                 await trio.sleep_forever()
-            transfer.begin(page.end, None)
+            progress.begin(page.end, None)
             if self.keeps_back and page.records:
                 await trio.sleep(0.1)
                 return KeyedPage([], page.end, start)
--- a/railtide/platform/tests/test_eras.py
+++ b/railtide/platform/tests/test_eras.py
@@ -9,7 +9,7 @@
 from railtide.http.server import Responder
 from railtide.journal.errors import EraRisen, LogUnavailable, RecordsExpired
 from railtide.journal.keyed import AppendConflict
-from railtide.journal.transfer import Transfer
+from railtide.journal.read_progress import ReadProgress
 from railtide.platform.store import PlatformStore
 from railtide.platform.tests.test_store import client_of
 from railtide.standins.keyed_store import MemoryStore
@@ -53,7 +53,7 @@
         memory = MemoryStore(era=1)
         told: list[int | None] = []
         async with client_of(StoreServer(memory).handle) as store:
-            store.on_rise(lambda: told.append(store.era))
+            store.on_era_rise(lambda: told.append(store.era))
             await store.newest("t")
             memory.roll_back(memory.copy())
             with pytest.raises(EraRisen):
@@ -167,13 +167,13 @@
         """What its reader is told of its beginning would be taken for the era that it asked in."""
         memory = MemoryStore(era=1)
         memory.put("t", "a", b"1")
-        begun: list[Transfer] = []
+        begun: list[ReadProgress] = []
         async with client_of(StoreServer(memory).handle) as store:
             await store.newest("t")
             memory.roll_back(memory.copy())
             for expected in (0, 1):
                 with nullcontext() if expected else pytest.raises(EraRisen):
-                    await store.read("t", 0, 0.0, transfer=Transfer(begun.append))
+                    await store.read("t", 0, 0.0, progress=ReadProgress(begun.append))
                 assert len(begun) == expected
 
     async def test_pages_of_a_broken_read_are_dropped(self) -> None:
@@ -233,7 +233,7 @@
         memory = MemoryStore()
         rises: list[int | None] = []
         async with client_of(Told(memory, "1", "2", "1", "2", "1", "2").handle) as store:
-            store.on_rise(lambda: rises.append(store.era))
+            store.on_era_rise(lambda: rises.append(store.era))
             outcomes = [await self._outcome(store) for _ in range(6)]
         assert outcomes == ["", "EraRisen", "LogUnavailable", "", "LogUnavailable", ""]
         assert rises == [2]
--- a/railtide/requests/commit.py
+++ b/railtide/requests/commit.py
@@ -18,8 +18,8 @@
 
 from railtide.budgets.errors import ExposureReached
 from railtide.budgets.log_budget_source import LogReservation
-from railtide.journal.entries import Code, Verdict
-from railtide.journal.writer import Ticket
+from railtide.journal.entries import Verdict, VerdictCode
+from railtide.journal.writer import Submission
 from railtide.requests.call import Call
 from railtide.requests.errors import (
     AnswerGone,
@@ -55,9 +55,9 @@
     RequestInProgress, KeyReused, AnswerGone, OutcomeUnknown
         The key has no stored answer; the error says why.
     """
-    if verdict.code == Code.KEY_MISMATCH:
+    if verdict.code == VerdictCode.KEY_MISMATCH:
         raise KeyReused("this Idempotency-Key was used for a different request")
-    if verdict.code == Code.KEY_OPEN:
+    if verdict.code == VerdictCode.KEY_OPEN:
         raise RequestInProgress(
             "a request with this Idempotency-Key is in progress", retry_after=RETRY_SOON_S
         )
@@ -98,7 +98,7 @@
         """Wait until output to the caller may begin."""
 
     @abstractmethod
-    async def wait_before_end(self, bill: Ticket | None) -> None:
+    async def wait_before_end(self, bill: Submission | None) -> None:
         """Wait until the end of the answer may be sent to the caller."""
 
     @abstractmethod
@@ -106,7 +106,7 @@
         """Return the units to count as used by attempts that got no answer."""
 
     @abstractmethod
-    def bill(self, record: Bill) -> Ticket | None:
+    def bill(self, record: Bill) -> Submission | None:
         """Write the bill; return None where bills are aggregated before they are written."""
 
 
@@ -125,7 +125,7 @@
         self._reservation = reservation
         self._services = services
         self._options = services.options
-        self._intent: Ticket | None = None
+        self._intent: Submission | None = None
 
     @property
     def needs_bill(self) -> bool:
@@ -179,8 +179,8 @@
 
     def _may_be_settled_elsewhere(self) -> bool:
         """Return whether others may have fenced this holder and settled the request."""
-        proved_at = self._reservation.epoch.writer.proved_at
-        age = trio.current_time() - max(proved_at, self._intent.submitted_at)
+        unfenced_at = self._reservation.epoch.writer.unfenced_at
+        age = trio.current_time() - max(unfenced_at, self._intent.submitted_at)
         return self._intent.durable and age > self._options.dispatch_window_s
 
     async def _claim(self) -> None:
@@ -189,7 +189,7 @@
                 "the log is unreachable and can't record the claim", retry_after=RETRY_SOON_S
             )
         verdict = await self._wait_for_verdict(self._submit_intent(exposed=False))
-        if verdict.code in (Code.KEY_OPEN, Code.KEY_USED, Code.KEY_MISMATCH):
+        if verdict.code in (VerdictCode.KEY_OPEN, VerdictCode.KEY_USED, VerdictCode.KEY_MISMATCH):
             raise KnownAnswer(answer_of_verdict(verdict))
         self._require_accepted(verdict)
 
@@ -202,13 +202,13 @@
                 retry_after=RETRY_SOON_S,
             )
         if self._intent:
-            ticket = self._submit(Extend(self._call.request_id, amount, exposed), amount)
+            submission = self._submit(Extend(self._call.request_id, amount, exposed), amount)
         else:
-            ticket = self._submit_intent(exposed)
+            submission = self._submit_intent(exposed)
         if not exposed:
-            self._require_accepted(await self._wait_for_verdict(ticket))
+            self._require_accepted(await self._wait_for_verdict(submission))
 
-    def _submit_intent(self, exposed: bool) -> Ticket:
+    def _submit_intent(self, exposed: bool) -> Submission:
         call = self._call
         record = Intent(
             call.request_id,
@@ -223,27 +223,27 @@
         self._intent = self._submit(record, call.reserve)
         return self._intent
 
-    def _submit(self, record: Intent | Extend, amount: int) -> Ticket:
+    def _submit(self, record: Intent | Extend, amount: int) -> Submission:
         writer = self._reservation.epoch.writer
-        ticket = writer.submit(record, traceparent_of(trace.get_current_span()))
-        ticket.when_decided(lambda verdict: self._on_decided(verdict, record, amount))
-        return ticket
+        submission = writer.submit(record, traceparent_of(trace.get_current_span()))
+        submission.add_done_callback(lambda verdict: self._on_decided(verdict, record, amount))
+        return submission
 
     def _on_decided(self, verdict: Verdict, record: Intent | Extend, amount: int) -> None:
         self._reservation.cover(amount)
         if verdict.ok:
             return
         self._services.counters.add("intents_refused")
-        if record.exposed and verdict.code == Code.BUDGET_EXHAUSTED:
+        if record.exposed and verdict.code == VerdictCode.BUDGET_EXHAUSTED:
             self._services.counters.add("sent_intents_uncovered")
 
-    async def _wait_for_verdict(self, ticket: Ticket) -> Verdict:
+    async def _wait_for_verdict(self, submission: Submission) -> Verdict:
         """Return the verdict; raise if the log is unreachable or the dispatch window has passed."""
-        until = ticket.submitted_at + self._options.dispatch_window_s
-        while ticket.verdict is None:
-            await ticket.wait_at_most(LOG_CHECK_S)
+        until = submission.submitted_at + self._options.dispatch_window_s
+        while submission.verdict is None:
+            await submission.wait_at_most(LOG_CHECK_S)
             late = trio.current_time() > until
-            if ticket.verdict is None and (late or not self._services.log_reachable()):
+            if submission.verdict is None and (late or not self._services.log_reachable()):
                 raise ClaimUnavailable(
                     "the log did not answer within the dispatch window", retry_after=RETRY_SOON_S
                 )
@@ -251,7 +251,7 @@
             raise ClaimUnavailable(
                 "the log answered after the dispatch window", retry_after=RETRY_SOON_S
             )
-        return ticket.verdict
+        return submission.verdict
 
     @staticmethod
     def _require_accepted(verdict: Verdict) -> None:
@@ -264,7 +264,7 @@
         """Return the whole reserve for each attempt; see `CommitProtocol.wasted_units`."""
         return self._call.reserve * lost_attempts
 
-    def bill(self, record: Bill) -> Ticket:
+    def bill(self, record: Bill) -> Submission:
         """Append the bill after the intent; see `CommitProtocol.bill`."""
         return self._reservation.epoch.writer.submit(record)
 
@@ -274,7 +274,7 @@
         """Wait until the intent is durable, as long as the log is reachable."""
         await self._wait_durable(self._intent)
 
-    async def wait_before_end(self, bill: Ticket) -> None:
+    async def wait_before_end(self, bill: Submission) -> None:
         """Wait until the bill is durable, as long as the log is reachable.
 
         After a pause of this process the log is unreachable for a moment, while other routers may
@@ -287,19 +287,19 @@
         """
         await self._wait_durable(bill)
         verdict = bill.verdict
-        if verdict and verdict.code == Code.NOT_OPEN and verdict.outcome == Outcome.NOT_RUN:
+        if verdict and verdict.code == VerdictCode.NOT_OPEN and verdict.outcome == Outcome.NOT_RUN:
             raise HolderFenced("another router settled the request as not run")
 
-    async def _wait_durable(self, ticket: Ticket) -> None:
+    async def _wait_durable(self, submission: Submission) -> None:
         until = trio.current_time() + self._options.commit_wait_s
-        while not ticket.durable and (
+        while not submission.durable and (
             self._services.log_reachable() or self._may_be_settled_elsewhere()
         ):
             left = until - trio.current_time()
             if left <= 0:
                 self._services.counters.add("commit_waits_ended")
                 return
-            await ticket.wait_at_most(left)
+            await submission.wait_at_most(left)
 
 
 def log_commit(call: Call, reservation: LogReservation, services: Services) -> CommitProtocol:
--- a/railtide/requests/ledger_commit.py
+++ b/railtide/requests/ledger_commit.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from railtide.budgets.budget_source import BudgetReservation
-from railtide.journal.writer import Ticket
+from railtide.journal.writer import Submission
 from railtide.requests.call import Call
 from railtide.requests.commit import CommitProtocol
 from railtide.requests.messages import Bill
@@ -46,7 +46,7 @@
     async def wait_before_first_byte(self) -> None:
         """Return at once."""
 
-    async def wait_before_end(self, bill: Ticket | None) -> None:
+    async def wait_before_end(self, bill: Submission | None) -> None:
         """Return at once."""
 
     def wasted_units(self, lost_attempts: int) -> int:
--- a/railtide/upstreams/limit_shares.py
+++ b/railtide/upstreams/limit_shares.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Sequence
 
 from railtide.membership.addresses import rendezvous_order
-from railtide.membership.entrance_set import Visits
+from railtide.membership.router_selection import RouterTraffic
 
 __all__ = ["LimitShares", "limit_routers"]
 
@@ -50,32 +50,32 @@
     ----------
     own : str
         Name of this router.
-    visits : callable
+    traffic : callable
         Returns which routers callers use, as this router knows them.
 
     Examples
     --------
-    >>> visits = Visits(("r1", "r2"), ("r3",))
-    >>> LimitShares("r1", lambda: visits).interval_s("e1", per_s=4.0)
+    >>> traffic = RouterTraffic(("r1", "r2"), ("r3",))
+    >>> LimitShares("r1", lambda: traffic).interval_s("e1", per_s=4.0)
     0.5
-    >>> other = LimitShares("r3", lambda: visits)
+    >>> other = LimitShares("r3", lambda: traffic)
     >>> other.interval_s("e1", per_s=4.0), other.probe_after_s("e1", per_s=4.0)
     (inf, 10.0)
     >>> other.interval_s("e1", per_s=20.0)
     0.5
     """
 
-    def __init__(self, own: str, visits: Callable[[], Visits]) -> None:
+    def __init__(self, own: str, traffic: Callable[[], RouterTraffic]) -> None:
         self._own = own
-        self._visits = visits
-        self._known = Visits()
+        self._traffic = traffic
+        self._known = RouterTraffic()
         self._pause_by_limit: dict[tuple[str, float], float] = {}
 
     def interval_s(self, upstream: str, per_s: float) -> float:
         """Return the minimum seconds between this router's requests; infinite without a share."""
-        visits = self._visits()
-        if visits is not self._known:
-            self._known = visits
+        traffic = self._traffic()
+        if traffic is not self._known:
+            self._known = traffic
             self._pause_by_limit.clear()
         limit = (upstream, per_s)
         pause = self._pause_by_limit.get(limit)
@@ -84,20 +84,20 @@
         return pause
 
     def _compute_interval_s(self, upstream: str, per_s: float) -> float:
-        visited, idle = self._known.visited, self._known.idle
+        active, idle = self._known.active, self._known.idle
         idle_interval_s = len(idle) / (IDLE_SHARE * per_s)
         has_idle_share = 0 < idle_interval_s <= MAX_IDLE_INTERVAL_S
         if self._own in idle:
             return idle_interval_s if has_idle_share else math.inf
         shared = (1 - IDLE_SHARE) * per_s if has_idle_share else per_s
-        sharing = limit_routers(upstream, visited, per_s)
+        sharing = limit_routers(upstream, active, per_s)
         return len(sharing) / shared if self._own in sharing else math.inf
 
     def probe_after_s(self, upstream: str, per_s: float) -> float:
         """Return after how many seconds without an answer about a limit this router probes."""
-        known = self._visits()
-        sharing = set(limit_routers(upstream, known.visited, per_s))
-        others = {*known.visited, *known.idle} - sharing | {self._own}
+        known = self._traffic()
+        sharing = set(limit_routers(upstream, known.active, per_s))
+        others = {*known.active, *known.idle} - sharing | {self._own}
         return PROBE_AFTER_S + PROBE_STAGGER_S * rendezvous_order(upstream, sorted(others)).index(
             self._own
         )
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -34,7 +34,7 @@
 LARGE = "railtide/platform/tests/test_large_desired_state.py"
 NARROW = "railtide/platform/tests/test_narrow_store.py"
 FEED = "railtide/journal/tests/test_feed.py"
-PATIENCE = "railtide/journal/tests/test_patience.py"
+PATIENCE = "railtide/journal/tests/test_response_timeouts.py"
 HEDGE = "railtide/journal/tests/test_hedge.py"
 STORE = "railtide/platform/tests/test_store.py"
 KEPT_PAGES = "railtide/platform/tests/test_kept_pages.py"
@@ -95,7 +95,7 @@
         "claim-skipped",
         "journal/fold.py",
         "    if known and not record.exposed:\n"
-        "        return _say_key(state, entry, holder, known, record.digest)\n"
+        "        return _verdict_on_key(state, entry, holder, known, record.digest)\n"
         "    if _is_ended",
         "    if _is_ended",
         (FOLD,),
@@ -104,7 +104,7 @@
         "late-claim-of-a-fenced-holder-counted",
         "journal/fold.py",
         "    if _is_ended(holder) and not record.exposed:\n"
-        "        return _say(state, entry, holder, Code.FENCED)\n"
+        "        return _verdict_on(state, entry, holder, VerdictCode.FENCED)\n"
         "    balance = state.by_account.get(record.account)",
         "    balance = state.by_account.get(record.account)",
         (FOLD,),
@@ -210,8 +210,8 @@
     Mutant(
         "fence-without-comparing",
         "journal/fold.py",
-        "if not alive or target.last_seq != record.seen_seq:",
-        "if not alive:",
+        "if not is_active or target.last_seq != record.seen_seq:",
+        "if not is_active:",
         (FOLD,),
     ),
     Mutant(
@@ -238,8 +238,8 @@
     Mutant(
         "settled-elsewhere-answered",
         "requests/commit.py",
-        "if verdict and verdict.code == Code.NOT_OPEN",
-        "if False and verdict.code == Code.NOT_OPEN",
+        "if verdict and verdict.code == VerdictCode.NOT_OPEN",
+        "if False and verdict.code == VerdictCode.NOT_OPEN",
         (SINGLE,),
     ),
     Mutant(
@@ -392,16 +392,18 @@
     ),
     Mutant(
         "load-names-nobody-more",
-        "membership/entrance_set.py",
-        "if len(chosen) >= options.least and capacity >= needed:",
-        "if len(chosen) >= options.least:",
+        "membership/router_selection.py",
+        "if len(chosen) >= options.min_routers and capacity >= needed:",
+        "if len(chosen) >= options.min_routers:",
         (MEMBERSHIP,),
     ),
     Mutant(
         "slow-beats-taken-for-death",
         "membership/roster.py",
-        "return self._options.dead_after_s * max(1.0, member.beat_s / self._options.beat_s)",
-        "return self._options.dead_after_s / 3",
+        "return self._options.dead_after_s * max(\n"
+        "            1.0, member.heartbeat_interval_s / self._options.heartbeat_interval_s\n"
+        "        )\n",
+        "return self._options.dead_after_s / 3\n",
         (MEMBERSHIP,),
     ),
     Mutant(
@@ -1131,7 +1133,7 @@
     Mutant(
         "waiting-read-outlasts-a-suspension",
         "journal/feed.py",
-        "            self._reading.cancel()\n",
+        "            self._read_scope.cancel()\n",
         "            pass\n",
         (f"{PLATFORM}/test_waking.py",),
     ),
@@ -1443,29 +1445,29 @@
     ),
     Mutant(
         "router-that-is-behind-is-named-like-others",
-        "membership/entrance_set.py",
-        "_by_domain_in_turn(current) + _by_domain_in_turn(behind)",
+        "membership/router_selection.py",
+        "_by_domain_in_turn(current) + _by_domain_in_turn(outdated)",
         "_by_domain_in_turn(candidates)",
         (MEMBERSHIP,),
     ),
     Mutant(
         "none-is-named-where-all-are-behind",
-        "membership/entrance_set.py",
-        "_by_domain_in_turn(current) + _by_domain_in_turn(behind)",
+        "membership/router_selection.py",
+        "_by_domain_in_turn(current) + _by_domain_in_turn(outdated)",
         "_by_domain_in_turn(current)",
         (MEMBERSHIP,),
     ),
     Mutant(
         "router-does-not-say-that-it-is-behind",
         "membership/roster.py",
-        "behind=self._is_behind(),",
-        "behind=False,",
+        "outdated=self._is_outdated(),",
+        "outdated=False,",
         (MEMBERSHIP,),
     ),
     Mutant(
         "being-behind-waits-for-the-next-beat",
         "membership/roster.py",
-        "if self._is_behind() != self._said_behind:",
+        "if self._is_outdated() != self._announced_outdated:",
         "if False:",
         (MEMBERSHIP,),
     ),
@@ -1541,7 +1543,7 @@
     ),
     Mutant(
         "store-that-is-heard-has-one-longer-wait",
-        "journal/patience.py",
+        "journal/response_timeouts.py",
         "return grown if is_heard or not self._grown else self._usual_s",
         "return grown if not self._grown else self._usual_s",
         (PATIENCE,),
@@ -1549,8 +1551,8 @@
     Mutant(
         "lost-word-of-being-behind-counts-as-said",
         "membership/roster.py",
-        "            return\n        self._said_behind = member.behind\n",
-        "        self._said_behind = member.behind\n",
+        "            return\n        self._announced_outdated = member.outdated\n",
+        "        self._announced_outdated = member.outdated\n",
         (MEMBERSHIP,),
     ),
     Mutant(
@@ -1583,7 +1585,7 @@
     ),
     Mutant(
         "lost-answer-is-taken-for-a-slow-store",
-        "journal/patience.py",
+        "journal/response_timeouts.py",
         "TRIES = 2",
         "TRIES = 1",
         (PATIENCE,),
@@ -1612,15 +1614,15 @@
     Mutant(
         "newest-of-some-time-ago-count-as-current",
         "journal/feed.py",
-        "self.freshness.note_newer()  # what came",
-        "self.freshness.note_complete()  # what came",
+        "self.freshness.note_newer()  # records appended",
+        "self.freshness.note_complete()  # records appended",
         (f"{PLATFORM}/test_kept_pages.py",),
     ),
     Mutant(
         "rest-of-an-answer-is-waited-for",
         "journal/feed.py",
-        "is_due = self._fresh is not None or self.freshness.behind_since is not None",
-        "is_due = self._fresh is not None",
+        "is_due = self._refreshed is not None or self.freshness.unread_since is not None",
+        "is_due = self._refreshed is not None",
         ("railtide/journal/tests/test_feed_bad_answers.py",),
     ),
     Mutant(
@@ -1633,7 +1635,7 @@
     Mutant(
         "newest-in-place-of-events",
         "journal/feed.py",
-        "if not self._options.newest_suffice:",
+        "if not self._options.skip_superseded:",
         "if False:",
         ("railtide/membership/tests/test_newest_for_backlog.py",),
     ),
@@ -1646,14 +1648,14 @@
     ),
     Mutant(
         "late-answer-is-never-waited-for",
-        "journal/patience.py",
+        "journal/response_timeouts.py",
         "needed_s * GROWTH ** (silences // TRIES)",
         "needed_s",
         (PATIENCE,),
     ),
     Mutant(
         "slow-store-is-waited-for-as-usual",
-        "journal/patience.py",
+        "journal/response_timeouts.py",
         "max(self._usual_s, took_s * MARGIN)",
         "self._usual_s",
         (PATIENCE,),
@@ -1682,7 +1684,7 @@
     Mutant(
         "silent-store-counts-as-heard-while-a-call-waits",
         "platform/store.py",
-        'transfer.note_silent(err or LogUnavailable(f"{ask.call}: no answer yet"))',
+        'progress.note_unresponsive(err or LogUnavailable(f"{ask.call}: no answer yet"))',
         "pass",
         (f"{NARROW}::TestSilence",),
     ),
@@ -1696,14 +1698,14 @@
     Mutant(
         "routers-that-are-all-behind-refuse-all",
         "membership/roster.py",
-        "        if self.is_named():\n            return False\n",
+        "        if self.is_advertised():\n            return False\n",
         "",
         (f"{OUTDATED}::TestReplacedState",),
     ),
     Mutant(
         "routers-that-are-behind-stand-in-for-each-other",
         "membership/roster.py",
-        "return any(router is not None and not router.member.behind for router in heard)",
+        "return any(router is not None and not router.member.outdated for router in heard)",
         "return bool(heard)",
         (f"{OUTDATED}::TestReplacedState",),
     ),
@@ -1739,34 +1741,34 @@
     Mutant(
         "silent-store-counts-as-heard-by-the-ledgers",
         "budgets/ledger_partition.py",
-        "Transfer(self._leave_if_newest_are_less, on_silent=self._note_silent)",
-        "Transfer(self._leave_if_newest_are_less)",
+        "                self._leave_if_newest_are_less, on_unresponsive=self._note_silent\n",
+        "                self._leave_if_newest_are_less\n",
         (f"{NARROW}::TestSilentLedgers",),
     ),
     Mutant(
         "wait-for-an-answer-grows-without-end",
-        "journal/patience.py",
+        "journal/response_timeouts.py",
         "min(self._most_s, needed_s * GROWTH ** (silences // TRIES))",
         "needed_s * GROWTH ** (silences // TRIES)",
         (PATIENCE,),
     ),
     Mutant(
         "wait-stays-long-behind-an-answer",
-        "journal/patience.py",
+        "journal/response_timeouts.py",
         "            self._silences_by_subject.pop(subject, None)\n",
         "",
         (PATIENCE,),
     ),
     Mutant(
         "call-of-before-a-return-keeps-its-long-wait",
-        "journal/patience.py",
+        "journal/response_timeouts.py",
         "                watch.hurry(usual_s + needed_s - self._usual_s)\n",
         "                pass\n",
         (PATIENCE, f"{NARROW}::TestSlowStore::{CALL_OF_BEFORE}"),
     ),
     Mutant(
         "held-read-is-given-up-behind-a-return",
-        "journal/patience.py",
+        "journal/response_timeouts.py",
         "watch.hurry(usual_s + needed_s - self._usual_s)",
         "watch.hurry(needed_s)",
         (PATIENCE,),
@@ -1809,22 +1811,22 @@
     Mutant(
         "small-versions-are-not-read-in-order",
         "journal/feed.py",
-        "if large and known and waiting >",
+        "if is_large and known and waiting >",
         "if known and waiting >",
         (FEED,),
     ),
     Mutant(
         "only-version-is-not-read-as-it-is",
         "journal/feed.py",
-        "waiting > max(1, known * ENCODED)",
+        "waiting > max(1, known * BASE64_RATIO)",
         "waiting > 0",
         (FEED,),
     ),
     Mutant(
         "feed-is-current-with-a-version-under-way",
         "journal/feed.py",
-        "return heard and self.freshness.behind_since is None",
-        "return heard",
+        "return is_heard and self.freshness.unread_since is None",
+        "return is_heard",
         (FEED,),
     ),
     Mutant(
@@ -1851,21 +1853,21 @@
     Mutant(
         "records-of-new-keys-count-as-replaced",
         "journal/feed.py",
-        "if large and known and waiting",
-        "if large and waiting",
+        "if is_large and known and waiting",
+        "if is_large and waiting",
         (f"{NARROW}::TestBrokenAnswer::test_whole_records_of_a_read_are_not_read_again",),
     ),
     Mutant(
         "newest-are-begun-again-behind-each-break",
         "journal/feed.py",
-        "        self._left = False\n        self._may_leave = False\n        return True\n",
+        "        self._abandoned = False\n        self._may_abandon = False\n        return True\n",
         "        return False\n",
         (f"{NARROW}::TestBrokenAnswer::{BROKEN_NEWEST}",),
     ),
     Mutant(
         "read-is-left-again-before-it-has-moved-on",
         "journal/feed.py",
-        "        self._may_leave = False\n",
+        "        self._may_abandon = False\n",
         "",
         (f"{NARROW}::TestBrokenAnswer::{BROKEN_NEWEST}",),
     ),
@@ -1878,22 +1880,22 @@
     ),
     Mutant(
         "bytes-of-an-earlier-page-count",
-        "journal/transfer.py",
-        "        self.received = came\n",
-        "        self.received += came\n",
+        "journal/read_progress.py",
+        "        self.received = initial\n",
+        "        self.received += initial\n",
         (FRESHNESS,),
     ),
     Mutant(
         "only-call-of-a-client-never-waits-longer",
-        "journal/patience.py",
+        "journal/response_timeouts.py",
         "return grown if is_heard or not self._grown else self._usual_s",
         "return grown if is_heard else self._usual_s",
         (f"{NARROW}::TestSlowStore", PATIENCE),
     ),
     Mutant(
         "calls-that-wait-longer-vouch-for-each-other",
-        "journal/patience.py",
-        "        if head_s > self._usual_s:\n            self._grown.add(watch)\n",
+        "journal/response_timeouts.py",
+        "        if timeout_s > self._usual_s:\n            self._grown.add(watch)\n",
         "",
         (PATIENCE,),
     ),
@@ -1943,8 +1945,9 @@
     Mutant(
         "answer-of-the-next-era-counts",
         "platform/store.py",
-        "            self._eras.take(era_told(exchange))\n            self._eras.check(rises)\n",
-        "            self._eras.take(era_told(exchange))\n",
+        "            self._eras.accept(era_told(exchange))\n"
+        "            self._eras.check_unchanged(rises)\n",
+        "            self._eras.accept(era_told(exchange))\n",
         (STORE_ERAS,),
     ),
     Mutant(
@@ -1958,7 +1961,7 @@
     Mutant(
         "pages-of-a-former-era-are-kept",
         "platform/store.py",
-        "        self._eras.on_rise(self._pages_by_topic.clear)\n",
+        "        self._eras.on_era_rise(self._pages_by_topic.clear)\n",
         "",
         (STORE_ERAS,),
     ),
@@ -1972,22 +1975,23 @@
     Mutant(
         "feed-is-current-behind-a-rise",
         "journal/feed.py",
-        'are read anew."""\n        self.freshness.note_newer()\n',
-        'are read anew."""\n',
+        'records are read next."""\n        self.freshness.note_newer()\n',
+        'records are read next."""\n',
         (FEED_ERAS,),
     ),
     Mutant(
         "rise-is-no-loss-of-the-store",
         "journal/feed.py",
-        "        if self.reachable and not self._is_former:\n",
+        "        if self.reachable and not self._is_offset_former:\n",
         "        if False:\n",
         (FEED_ERAS,),
     ),
     Mutant(
         "rise-is-no-return-of-the-store",
         "journal/feed.py",
-        "            self._is_former = False\n            self.back_at = trio.current_time()\n",
-        "            self._is_former = False\n",
+        "            self._is_offset_former = False\n"
+        "            self.restored_at = trio.current_time()\n",
+        "            self._is_offset_former = False\n",
         (FEED_ERAS,),
     ),
     Mutant(
@@ -2137,7 +2141,7 @@
     Mutant(
         "copy-shows-who-lives",
         "membership/roster.py",
-        "        lived_through = {life for life in said if lives[life].first_era <= opened}\n",
+        "        lived_through = {life for life in said if lives[life].first_era <= last_opened}\n",
         "        lived_through = said\n",
         (ROSTER_ERAS,),
     ),
@@ -2213,7 +2217,7 @@
     Mutant(
         "process-of-an-era-that-was-never-open-knows-the-former",
         "membership/roster.py",
-        "lives[life].era == era and lives[life].first_era <= opened",
+        "lives[life].era == era and lives[life].first_era <= last_opened",
         "lives[life].era == era",
         (FLEET, ROSTER_ERAS),
     ),
@@ -2227,7 +2231,7 @@
     Mutant(
         "refusals-are-final-on-a-copy",
         "edge/node.py",
-        "        store.on_rise(self._freshness.note_rise)\n",
+        "        store.on_era_rise(self._freshness.note_rise)\n",
         "",
         (ROLLBACK,),
     ),
@@ -2304,7 +2308,7 @@
     Mutant(
         "drain-that-ended-in-a-lost-history-goes-on",
         "edge/node.py",
-        "self._pools.drained.keep_only(domains - {None})",
+        "self._pools.drained.retain(domains - {None})",
         "pass",
         (DRAINS,),
     ),
@@ -2463,10 +2467,10 @@
     ),
     Mutant(
         "routers-that-are-asked-but-not-named-have-no-part",
-        "membership/entrance_set.py",
-        "if c.entrance.name in names or c.load > least]",
-        "if c.entrance.name in names]",
-        (f"{MEMBERSHIP}/test_entrance_set.py",),
+        "membership/router_selection.py",
+        "if c.endpoint.name in names or c.load > least]",
+        "if c.endpoint.name in names]",
+        (f"{MEMBERSHIP}/test_router_selection.py",),
     ),
     Mutant(
         "waiting-for-what-a-limit-took-away",
@@ -2499,7 +2503,7 @@
     Mutant(
         "leaving-in-an-answer-waits-for-the-next-look",
         "edge/pools.py",
-        "note_leaving(upstream)\n            self.listed.settle()\n",
+        "note_leaving(upstream)\n            self.listed.apply_pending()\n",
         "note_leaving(upstream)\n",
         (LEAVING,),
     ),
