--- a/bench/transfers.py
+++ b/bench/transfers.py
@@ -12,8 +12,8 @@
 
 from railtide.budgets.ledger import Holding, Ledger, ledger_from_bytes, ledger_to_bytes
 from railtide.budgets.spend_limit import Reading, SpendLimit
-from railtide.containment.blame import blamed
-from railtide.containment.evidence import Mark
+from railtide.containment.blame import assign_blame
+from railtide.containment.observations import CrashObservation
 from railtide.containment.records import record_key, record_value
 from railtide.journal.entries import batch_to_bytes, make_entry
 from railtide.journal.keyed import KeyedRecord
@@ -91,7 +91,7 @@
 
 
 def mark() -> tuple[str, bytes]:
-    found = Mark("c" * 32, "a" * 16, 1.79e9, ran_s=0.123, router="edge-region-1-0123")
+    found = CrashObservation("c" * 32, "a" * 16, 1.79e9, ran_s=0.123, router="edge-region-1-0123")
     return record_key(found), record_value(found, "engine-01234")
 
 
@@ -226,7 +226,10 @@
     """Return what a router works out of a transfer at once, while all else waits."""
     sources = PlatformSources()
     state_now, state = state_record(ROUTES_NOW, 24), state_record(ROUTES_NOW, BUDGETS)
-    marks = [Mark(f"{n:032x}", f"{n % 500:016x}", 1e9 + n % 500, ran_s=0.1) for n in range(4_096)]
+    marks = [
+        CrashObservation(f"{n:032x}", f"{n % 500:016x}", 1e9 + n % 500, ran_s=0.1)
+        for n in range(4_096)
+    ]
     candidates = [
         Candidate(Entrance(f"edge-{n:04}", "10.0.0.1:80", f"zone-{n % 23}"), 200.0, 79.0)
         for n in range(NODES)
@@ -236,7 +239,7 @@
     return {
         "desired state of 1,880 routes": lambda: sources.snapshot_of(state_now),
         "desired state of 1,880 routes and 310,000 tenants": lambda: sources.snapshot_of(state),
-        "blame of 4,096 marks of 500 lives": lambda: blamed(marks),
+        "blame of 4,096 marks of 500 lives": lambda: assign_blame(marks),
         "choice among 1,100 routers": lambda: chosen_entrances(candidates, EntranceSetOptions()),
         "list of 11,100 members": lambda: message_from_bytes(members),
         "467 ledgers with 8 holders": lambda: [ledger_from_bytes(few) for _ in range(467)],
--- a/railtide/containment/operating.py
+++ b/railtide/containment/admin.py
@@ -5,9 +5,9 @@
 import msgspec
 
 from railtide.configuration.errors import InvalidObject
-from railtide.containment.blame import blamed
-from railtide.containment.evidence import Evidence, Mark
+from railtide.containment.blame import assign_blame
 from railtide.containment.holding import held_until
+from railtide.containment.observations import CrashObservation, ObservationSet
 from railtide.containment.records import mark_of, record_key, record_value, upstream_of
 from railtide.containment.registry import TOPIC
 from railtide.journal.keyed import KeyedRecord, KeyedStore
@@ -55,10 +55,10 @@
     """
     page = await store.newest(TOPIC)
     record_by_mark = _record_by_mark(page.records)
-    evidence = Evidence()
+    evidence = ObservationSet()
     for mark in record_by_mark:
         evidence.add(mark)
-    blame = blamed(evidence.marks(), evidence.moments)
+    blame = assign_blame(evidence.marks(), evidence.moments)
     ends = {content: len(lives) for content, lives in blame.held.items()}
     states = [
         _state(content, count, evidence.marks_of(content), record_by_mark, content in ends, now)
@@ -67,8 +67,8 @@
     return sorted(states, key=lambda state: (not state.held, -state.ends, state.content))
 
 
-def _record_by_mark(records: list[KeyedRecord]) -> dict[Mark, KeyedRecord]:
-    found: dict[Mark, KeyedRecord] = {}
+def _record_by_mark(records: list[KeyedRecord]) -> dict[CrashObservation, KeyedRecord]:
+    found: dict[CrashObservation, KeyedRecord] = {}
     for record in records:
         try:
             found[mark_of(record)] = record
@@ -80,8 +80,8 @@
 def _state(
     content: str,
     ends: int,
-    marks: list[Mark],
-    record_by_mark: dict[Mark, KeyedRecord],
+    marks: list[CrashObservation],
+    record_by_mark: dict[CrashObservation, KeyedRecord],
     held: bool,
     now: float,
 ) -> ContentState:
--- a/railtide/containment/blame.py
+++ b/railtide/containment/blame.py
@@ -16,13 +16,13 @@
 from collections.abc import Iterable, Mapping, Sequence, Set
 from dataclasses import dataclass, field
 
-from railtide.containment.evidence import Mark, Moments
+from railtide.containment.observations import CrashObservation, DetectionTimes
 
 __all__ = [
     "HOLD_WEIGHT",
     "STRONG",
     "Blame",
-    "blamed",
+    "assign_blame",
     "ends_of",
     "moments_of",
     "weight_of",
@@ -60,7 +60,7 @@
     strikes_by_content: dict[str, int] = field(default_factory=dict)
 
 
-def blamed(marks: Iterable[Mark], moments: Moments | None = None) -> Blame:
+def assign_blame(marks: Iterable[CrashObservation], moments: DetectionTimes | None = None) -> Blame:
     """Return who is to blame by all marks; those that are cleared tell moments only.
 
     Parameters
@@ -88,7 +88,7 @@
     """
     every = list(marks)
     moments = moments_of(every) if moments is None else moments
-    left: dict[str, list[Mark]] = {}
+    left: dict[str, list[CrashObservation]] = {}
     for mark in every:
         if not mark.cleared:
             left.setdefault(mark.content, []).append(mark)
@@ -105,7 +105,7 @@
     return Blame(held, strikes)
 
 
-def moments_of(marks: Iterable[Mark]) -> Moments:
+def moments_of(marks: Iterable[CrashObservation]) -> DetectionTimes:
     """Return when which router saw the end of each life."""
     moments: dict[str, dict[str, float]] = {}
     for mark in marks:
@@ -114,7 +114,9 @@
     return moments
 
 
-def ends_of(marks: Sequence[Mark], moments: Moments) -> list[list[Mark]]:
+def ends_of(
+    marks: Sequence[CrashObservation], moments: DetectionTimes
+) -> list[list[CrashObservation]]:
     """Return the marks of one content by the ends that they stand for, in the order of time.
 
     Examples
@@ -124,7 +126,7 @@
     >>> [len(ends_of(marks, moments_of(marks))) for marks in (together, in_turn)]
     [1, 2]
     """
-    ends: list[list[Mark]] = []
+    ends: list[list[CrashObservation]] = []
     for mark in sorted(marks, key=lambda one: one.at):
         for end in ends:
             if any(_is_same_end(mark, other, moments) for other in end):
@@ -135,7 +137,7 @@
     return ends
 
 
-def _is_same_end(one: Mark, other: Mark, moments: Moments) -> bool:
+def _is_same_end(one: CrashObservation, other: CrashObservation, moments: DetectionTimes) -> bool:
     """Return whether a router saw both ends at one moment, at which both runs were there."""
     both = moments[one.life].keys() & moments[other.life].keys()
     for router in _witnesses((one, other), both):
@@ -146,7 +148,7 @@
     return False
 
 
-def weight_of(marks: Sequence[Mark], moments: Moments) -> int:
+def weight_of(marks: Sequence[CrashObservation], moments: DetectionTimes) -> int:
     """Return how much the marks of one content speak against it.
 
     An end of a run that was sent before an earlier end weighs less: the content was under way at
@@ -161,7 +163,7 @@
     return weight
 
 
-def _seen_at(end: Sequence[Mark], moments: Moments) -> Mapping[str, float]:
+def _seen_at(end: Sequence[CrashObservation], moments: DetectionTimes) -> Mapping[str, float]:
     """Return when each router first saw one of the lives that ended together."""
     seen: dict[str, float] = {}
     for mark in end:
@@ -170,7 +172,9 @@
     return seen
 
 
-def _was_sent_before(mark: Mark, ends: Sequence[Mapping[str, float]], moments: Moments) -> bool:
+def _was_sent_before(
+    mark: CrashObservation, ends: Sequence[Mapping[str, float]], moments: DetectionTimes
+) -> bool:
     """Return whether a run was sent before one of some ends, by a router that saw both."""
     at_by_router = moments[mark.life] | {mark.router: mark.at}
     return any(
@@ -180,7 +184,7 @@
     )
 
 
-def _witnesses(marks: Sequence[Mark], routers: Set[str]) -> Set[str]:
+def _witnesses(marks: Sequence[CrashObservation], routers: Set[str]) -> Set[str]:
     """Return which of the routers that saw two ends tell how they came: those that sent the runs.
 
     They knew of the one end when they sent to the other upstream, or did not. Another router that
@@ -189,11 +193,13 @@
     return routers & {mark.router for mark in marks} or routers
 
 
-def _lives(marks: Sequence[Mark]) -> frozenset[str]:
+def _lives(marks: Sequence[CrashObservation]) -> frozenset[str]:
     return frozenset(mark.life for mark in marks)
 
 
-def _surely_worst(left: Mapping[str, Sequence[Mark]], moments: Moments) -> list[str]:
+def _surely_worst(
+    left: Mapping[str, Sequence[CrashObservation]], moments: DetectionTimes
+) -> list[str]:
     """Return the contents that weigh most, if that is enough and tells them from others."""
     enough = {content: marks for content, marks in left.items() if len(marks) >= LEAST_MARKS}
     weights = {content: weight_of(marks, moments) for content, marks in enough.items()}
@@ -206,7 +212,9 @@
     return [content for content in worst if not _has_twin(content, worst, left)]
 
 
-def _has_twin(content: str, worst: Sequence[str], left: Mapping[str, Sequence[Mark]]) -> bool:
+def _has_twin(
+    content: str, worst: Sequence[str], left: Mapping[str, Sequence[CrashObservation]]
+) -> bool:
     """Return whether another content that weighs as much was at most of the same ends."""
     lives = _lives(left[content])
     shared = (_lives(left[other]) & lives for other in worst if other != content)
--- a/railtide/containment/ends.py
+++ b/railtide/containment/crash_detection.py
@@ -16,7 +16,7 @@
 
 from railtide.membership.instances import Instance
 
-__all__ = ["Break", "EndSign", "EndWatch", "ProbeResult", "UpstreamRun"]
+__all__ = ["BrokenAttempt", "CrashSign", "CrashDetector", "ProbeResult", "UpstreamAttempt"]
 
 BREAK_KEPT_S = 5.0
 """How long a break waits to be explained. Above the 3.6 s after which the record of a silent
@@ -39,7 +39,7 @@
     UNKNOWN = "unknown"
 
 
-class EndSign(StrEnum):
+class CrashSign(StrEnum):
     """What told that a life has ended."""
 
     REFUSED = "refused"
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True)
-class UpstreamRun:
+class UpstreamAttempt:
     """One run of a content at an upstream.
 
     Attributes
@@ -66,10 +66,10 @@
 
 
 @dataclass(frozen=True)
-class Break:
+class BrokenAttempt:
     """A run whose answer broke off at a trio time."""
 
-    run: UpstreamRun
+    run: UpstreamAttempt
     at: float
 
 
@@ -91,7 +91,7 @@
     """
 
     instance: Instance
-    break_by_content: dict[str, Break] = field(default_factory=dict)
+    break_by_content: dict[str, BrokenAttempt] = field(default_factory=dict)
     connected_at: float = -math.inf
     probe: trio.Event | None = None
     is_mute: bool = False
@@ -101,7 +101,7 @@
         """When the earliest of the answers broke off."""
         return min((one.at for one in self.break_by_content.values()), default=math.inf)
 
-    def note(self, broken: Break) -> None:
+    def note(self, broken: BrokenAttempt) -> None:
         """Take a break, unless it is of a run that joined one which broke off as well."""
         run = broken.run
         if run.head_at is None and run.sent_at > self.first_break_at:
@@ -112,7 +112,7 @@
         self.break_by_content[run.content] = broken
 
 
-class EndWatch:
+class CrashDetector:
     """Tells of lives that ended, and of what was under way then.
 
     Parameters
@@ -129,7 +129,7 @@
     def __init__(
         self,
         probe: Callable[[Instance], Awaitable[ProbeResult]],
-        on_end: Callable[[Instance, list[Break]], None],
+        on_end: Callable[[Instance, list[BrokenAttempt]], None],
         start_soon: Callable[..., None],
     ) -> None:
         self._probe = probe
@@ -138,15 +138,15 @@
         self._watched_by_life: dict[str, _Watched] = {}
         self._ended_at_by_life: dict[str, float] = {}
 
-    def note_broken(self, instance: Instance, run: UpstreamRun) -> None:
+    def note_broken(self, instance: Instance, run: UpstreamAttempt) -> None:
         """Record that an answer of an upstream broke off; ask whether it lives."""
         now = trio.current_time()
         life = instance.incarnation
         if now - self._ended_at_by_life.get(life, -math.inf) <= BREAK_KEPT_S:
-            self._on_end(instance, [Break(run, now)])
+            self._on_end(instance, [BrokenAttempt(run, now)])
             return
         watched = self._watched_by_life.setdefault(life, _Watched(instance))
-        watched.note(Break(run, now))
+        watched.note(BrokenAttempt(run, now))
         if watched.probe is None:
             watched.probe = trio.Event()
             self._start_soon(self._ask, watched, watched.probe)
@@ -156,7 +156,7 @@
         try:
             found = await self._probe(watched.instance)
             if found is ProbeResult.REFUSED:
-                self.note_ended(watched.instance, EndSign.REFUSED)
+                self.note_ended(watched.instance, CrashSign.REFUSED)
             elif found is ProbeResult.CONNECTED:
                 watched.connected_at = began
         finally:
@@ -186,7 +186,7 @@
         self._forget_old_breaks()
         for watched in list(self._watched_by_life.values()):
             if any(_replaces(instance, watched.instance) for instance in instances):
-                self.note_ended(watched.instance, EndSign.REPLACED)
+                self.note_ended(watched.instance, CrashSign.REPLACED)
 
     def _forget_old_breaks(self) -> None:
         """Forget the breaks that no end can explain any more."""
@@ -195,7 +195,7 @@
             if all(one.at < old for one in watched.break_by_content.values()):
                 del self._watched_by_life[life]
 
-    def note_ended(self, instance: Instance, sign: EndSign) -> None:
+    def note_ended(self, instance: Instance, sign: CrashSign) -> None:
         """Record that a life has ended; what broke off lately was under way."""
         watched = self._watched_by_life.pop(instance.incarnation, None)
         if not watched:
@@ -217,7 +217,7 @@
         self._on_end(instance, breaks)
 
 
-def _explains(watched: _Watched, sign: EndSign, broken: Break, now: float) -> bool:
+def _explains(watched: _Watched, sign: CrashSign, broken: BrokenAttempt, now: float) -> bool:
     """Return whether a sign that a life has ended explains an answer that broke off before.
 
     A probe that connected after the break found that life, a new one in its place, or something
@@ -228,7 +228,7 @@
     age_s = now - broken.at
     if broken.at > watched.connected_at:
         return age_s <= BREAK_KEPT_S
-    if sign is EndSign.REFUSED:
+    if sign is CrashSign.REFUSED:
         return False
     if watched.is_mute:
         return age_s <= BREAK_KEPT_S and broken.run.sent_at <= watched.first_break_at
--- a/railtide/containment/guard.py
+++ b/railtide/containment/guard.py
@@ -7,9 +7,9 @@
 
 import trio
 
-from railtide.containment.ends import EndSign, EndWatch, UpstreamRun
+from railtide.containment.crash_detection import CrashDetector, CrashSign, UpstreamAttempt
 from railtide.containment.errors import ContentHeld
-from railtide.containment.placement import preferred
+from railtide.containment.placement import preferred_upstreams
 from railtide.containment.registry import CrashRegistry
 from railtide.membership.instances import Instance
 from railtide.upstreams.errors import (
@@ -60,11 +60,13 @@
         """
 
     @abstractmethod
-    async def note_failure(self, instance: Instance, run: UpstreamRun, err: UpstreamError) -> None:
+    async def note_failure(
+        self, instance: Instance, run: UpstreamAttempt, err: UpstreamError
+    ) -> None:
         """Take how a try failed; returns once it is known whether its upstream lives, or soon."""
 
     @abstractmethod
-    def note_answer(self, instance: Instance, run: UpstreamRun, sound: bool) -> None:
+    def note_answer(self, instance: Instance, run: UpstreamAttempt, sound: bool) -> None:
         """Record that an upstream answered a run whole.
 
         `sound` is whether the answer shows that the content was run to its end.
@@ -87,10 +89,12 @@
         """Return a scope that nothing cancels; see `ContentGuard.running`."""
         return trio.CancelScope()
 
-    async def note_failure(self, instance: Instance, run: UpstreamRun, err: UpstreamError) -> None:
+    async def note_failure(
+        self, instance: Instance, run: UpstreamAttempt, err: UpstreamError
+    ) -> None:
         """Learn nothing; see `ContentGuard.note_failure`."""
 
-    def note_answer(self, instance: Instance, run: UpstreamRun, sound: bool) -> None:
+    def note_answer(self, instance: Instance, run: UpstreamAttempt, sound: bool) -> None:
         """Learn nothing; see `ContentGuard.note_answer`."""
 
 
@@ -111,7 +115,7 @@
     watch : EndWatch
     """
 
-    def __init__(self, registry: CrashRegistry, watch: EndWatch) -> None:
+    def __init__(self, registry: CrashRegistry, watch: CrashDetector) -> None:
         self._registry = registry
         self._watch = watch
         self._runs_by_content: dict[str, list[_Running]] = {}
@@ -137,7 +141,7 @@
         strikes = self._registry.strikes_by_content(content)
         if not strikes:
             return None
-        return lambda names: preferred(content, strikes, names)
+        return lambda names: preferred_upstreams(content, strikes, names)
 
     @contextmanager
     def running(
@@ -166,19 +170,21 @@
             if head_at is None or now - head_at < SURVIVED_S:
                 run.scope.cancel()
 
-    async def note_failure(self, instance: Instance, run: UpstreamRun, err: UpstreamError) -> None:
+    async def note_failure(
+        self, instance: Instance, run: UpstreamAttempt, err: UpstreamError
+    ) -> None:
         """Take a try that failed; see `ContentGuard.note_failure`."""
         if isinstance(err, UpstreamAbsent):
-            self._watch.note_ended(instance, EndSign.REFUSED)
+            self._watch.note_ended(instance, CrashSign.REFUSED)
         elif isinstance(err, UpstreamMoved):
-            self._watch.note_ended(instance, EndSign.MOVED)
+            self._watch.note_ended(instance, CrashSign.MOVED)
         elif isinstance(err, UpstreamFailed):
             self._watch.note_alive(instance, run.sent_at)
         elif isinstance(err, UpstreamBroken):
             self._watch.note_broken(instance, run)
             await self._watch.settled(instance)
 
-    def note_answer(self, instance: Instance, run: UpstreamRun, sound: bool) -> None:
+    def note_answer(self, instance: Instance, run: UpstreamAttempt, sound: bool) -> None:
         """Take an answer; see `ContentGuard.note_answer`."""
         self._watch.note_alive(instance, run.sent_at)
         if sound:
--- a/railtide/containment/holding.py
+++ b/railtide/containment/holding.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable, Sequence
 
 from railtide.containment.blame import HOLD_WEIGHT, STRONG, moments_of, weight_of
-from railtide.containment.evidence import Evidence, Mark, Moments
+from railtide.containment.observations import CrashObservation, DetectionTimes, ObservationSet
 
 __all__ = ["KEEP_S", "MOST_CONTENTS", "held_until", "surplus"]
 
@@ -21,10 +21,12 @@
 in the store, so that a start reads half a megabyte where each has one."""
 
 
-def held_until(marks: Sequence[Mark], now: float, moments: Moments | None = None) -> float:
+def held_until(
+    marks: Sequence[CrashObservation], now: float, moments: DetectionTimes | None = None
+) -> float:
     """Return until when a content is held by its marks, Unix seconds.
 
-    A mark of a clock that is ahead counts as one of now. For `moments` see `blamed`.
+    A mark of a clock that is ahead counts as one of now. For `moments` see `assign_blame`.
 
     Examples
     --------
@@ -40,7 +42,9 @@
     return last + HOLD_S * HOLD_GROWTH**beyond
 
 
-def surplus(evidence: Evidence, now: float, most: int = MOST_CONTENTS) -> list[Mark]:
+def surplus(
+    evidence: ObservationSet, now: float, most: int = MOST_CONTENTS
+) -> list[CrashObservation]:
     """Return the marks to be forgotten: old ones, and beyond the bound those that say least.
 
     Examples
@@ -54,7 +58,7 @@
     ['a', 'b']
     """
     old = [mark for mark in evidence.marks() if now - mark.at > KEEP_S]
-    by_content: dict[str, list[Mark]] = {}
+    by_content: dict[str, list[CrashObservation]] = {}
     for mark in evidence.marks():
         if now - mark.at <= KEEP_S:
             by_content.setdefault(mark.content, []).append(mark)
@@ -65,7 +69,7 @@
     return old + [mark for marks in least for mark in marks]
 
 
-def _weight(marks: Iterable[Mark]) -> tuple[int, float]:
+def _weight(marks: Iterable[CrashObservation]) -> tuple[int, float]:
     """Return how much the marks of a content say: their number, then how new they are."""
     listed = list(marks)
     standing = sum(not mark.cleared for mark in listed)
--- a/railtide/containment/evidence.py
+++ b/railtide/containment/observations.py
@@ -9,15 +9,15 @@
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass
 
-__all__ = ["Evidence", "Mark", "Moments", "says_more"]
+__all__ = ["ObservationSet", "CrashObservation", "DetectionTimes", "supersedes"]
 
-Moments = Mapping[str, dict[str, float]]
+DetectionTimes = Mapping[str, dict[str, float]]
 """By life and router, when a router first saw a run broken off by that life's end, by its own
 clock. It knew of the end from then on, though it may see other runs broken off later."""
 
 
 @dataclass(frozen=True)
-class Mark:
+class CrashObservation:
     """One content that was under way at the end of one life of an upstream.
 
     Attributes
@@ -46,7 +46,7 @@
     router: str = ""
 
 
-class Evidence:
+class ObservationSet:
     """All marks, by content.
 
     Examples
@@ -63,7 +63,7 @@
     """
 
     def __init__(self) -> None:
-        self._marks_by_content: dict[str, dict[str, Mark]] = {}
+        self._marks_by_content: dict[str, dict[str, CrashObservation]] = {}
         self._moments: dict[str, dict[str, float]] = {}
         self._marks_by_life: Counter[str] = Counter()
 
@@ -73,7 +73,7 @@
     def __len__(self) -> int:
         return len(self._marks_by_content)
 
-    def add(self, mark: Mark) -> bool:
+    def add(self, mark: CrashObservation) -> bool:
         """Take a mark and return whether it says anything new.
 
         A cleared one stays so, and one that is not weak stays that. Else the longer run counts:
@@ -89,12 +89,12 @@
         marks[mark.life] = mark
         return True
 
-    def outranking(self, mark: Mark) -> Mark | None:
+    def outranking(self, mark: CrashObservation) -> CrashObservation | None:
         """Return the mark that is known of the same content and life, if it says more."""
         known = self._marks_by_content.get(mark.content, {}).get(mark.life)
         return known if known and _rank(known) > _rank(mark) else None
 
-    def drop(self, mark: Mark) -> None:
+    def drop(self, mark: CrashObservation) -> None:
         """Forget a mark."""
         marks = self._marks_by_content.get(mark.content, {})
         if not marks.pop(mark.life, None):
@@ -105,16 +105,16 @@
         if not self._marks_by_life[mark.life]:
             del self._marks_by_life[mark.life], self._moments[mark.life]
 
-    def marks(self) -> Iterator[Mark]:
+    def marks(self) -> Iterator[CrashObservation]:
         """Return all marks."""
         return (mark for marks in self._marks_by_content.values() for mark in marks.values())
 
     @property
-    def moments(self) -> Moments:
+    def moments(self) -> DetectionTimes:
         """When which routers saw the ends, by all marks that were taken."""
         return self._moments
 
-    def marks_of(self, content: str) -> list[Mark]:
+    def marks_of(self, content: str) -> list[CrashObservation]:
         """Return the marks of a content that are not cleared."""
         marks = self._marks_by_content.get(content, {})
         return [mark for mark in marks.values() if not mark.cleared]
@@ -124,12 +124,12 @@
         return frozenset(mark.life for mark in self.marks_of(content))
 
 
-def says_more(mark: Mark, known: Mark | None) -> bool:
+def supersedes(mark: CrashObservation, known: CrashObservation | None) -> bool:
     """Return whether a mark says more than what is known of its content and life."""
     return known is None or _rank(mark) > _rank(known)
 
 
-def _rank(mark: Mark) -> tuple[int, float]:
+def _rank(mark: CrashObservation) -> tuple[int, float]:
     """Return which of two marks of one content and life goes before the other."""
     if mark.cleared:
         return 2, 0.0
--- a/railtide/containment/placement.py
+++ b/railtide/containment/placement.py
@@ -16,7 +16,7 @@
 
 from railtide.membership.addresses import rendezvous_order
 
-__all__ = ["STRIKES_TO_PART", "places", "preferred"]
+__all__ = ["STRIKES_TO_PART", "places", "preferred_upstreams"]
 
 STRIKES_TO_PART = 2
 """Ends from which on a content is kept apart from other suspects: one more decides."""
@@ -44,7 +44,7 @@
     return made
 
 
-def preferred(
+def preferred_upstreams(
     content: str, strikes_by_content: Mapping[str, int], names: Sequence[str]
 ) -> frozenset[str]:
     """Return the upstreams that a content had best run at: all for one that is no suspect.
--- a/railtide/containment/records.py
+++ b/railtide/containment/records.py
@@ -7,10 +7,10 @@
 import msgspec
 
 from railtide.configuration.errors import InvalidObject
-from railtide.containment.evidence import Mark
+from railtide.containment.observations import CrashObservation
 from railtide.journal.keyed import KeyedRecord
 
-__all__ = ["life_digest", "mark_of", "record_key", "record_value", "upstream_of"]
+__all__ = ["incarnation_digest", "mark_of", "record_key", "record_value", "upstream_of"]
 
 LIFE_BYTES = 8
 PURPOSE = b"life"
@@ -29,7 +29,7 @@
     upstream, router : str
         The upstream that ended, and who saw it, for people.
     cleared, ran_s, weak
-        See `Mark`.
+        See `CrashObservation`.
     """
 
     at: Annotated[float, msgspec.Meta(ge=0, le=MOST_UNIX_S)]
@@ -43,7 +43,7 @@
 _decoder = msgspec.msgpack.Decoder(_Value)
 
 
-def life_digest(incarnation: str) -> str:
+def incarnation_digest(incarnation: str) -> str:
     """Return a name of bounded length for a life of an upstream.
 
     Examples
@@ -54,12 +54,12 @@
     return blake2b(incarnation.encode(), digest_size=LIFE_BYTES, person=PURPOSE).hexdigest()
 
 
-def record_key(mark: Mark) -> str:
+def record_key(mark: CrashObservation) -> str:
     """Return the key of a mark: the same whoever saw it."""
     return f"{mark.content}/{mark.life}"
 
 
-def record_value(mark: Mark, upstream: str) -> bytes:
+def record_value(mark: CrashObservation, upstream: str) -> bytes:
     """Return what stands under it."""
     names = upstream[:MOST_NAME], mark.router[:MOST_NAME]
     value = _Value(mark.at, *names, mark.cleared, mark.ran_s, mark.weak)
@@ -71,7 +71,7 @@
     return _decoder.decode(record.value).upstream
 
 
-def mark_of(record: KeyedRecord) -> Mark:
+def mark_of(record: KeyedRecord) -> CrashObservation:
     """Return the mark in a record.
 
     Raises
@@ -93,4 +93,4 @@
     except (msgspec.DecodeError, RecursionError) as err:
         raise InvalidObject(str(err)) from err
     seen = value.at, value.cleared, value.ran_s, value.weak, value.router
-    return Mark(found[1], found[2], *seen)
+    return CrashObservation(found[1], found[2], *seen)
--- a/railtide/containment/registry.py
+++ b/railtide/containment/registry.py
@@ -15,13 +15,13 @@
 from loguru import logger
 
 from railtide.configuration.errors import InvalidObject
-from railtide.containment.blame import Blame, blamed
-from railtide.containment.ends import Break
+from railtide.containment.blame import Blame, assign_blame
+from railtide.containment.crash_detection import BrokenAttempt
 from railtide.containment.errors import ContentHeld
-from railtide.containment.evidence import Evidence, Mark, says_more
 from railtide.containment.holding import MOST_CONTENTS, held_until, surplus
+from railtide.containment.observations import CrashObservation, ObservationSet, supersedes
 from railtide.containment.records import (
-    life_digest,
+    incarnation_digest,
     mark_of,
     record_key,
     record_value,
@@ -102,7 +102,7 @@
         self._counters = counters
         self._is_owner = is_owner
         self._day_s = day_s
-        self._evidence = Evidence()
+        self._evidence = ObservationSet()
         self._blame = Blame()
         self._held_at: dict[str, float] = {}
         self._known_lives: set[str] = set()
@@ -112,7 +112,7 @@
         self._sound_at: dict[str, float] = {}
         self._told_unreadable = False
         self._is_risen = False
-        self._shown: dict[str, Mark] = {}
+        self._shown: dict[str, CrashObservation] = {}
         options = FeedOptions(wait_s=WAIT_S)
         self._feed = Feed(store, TOPIC, options, rng, self.take, self._compare)
         store.on_rise(self._note_rise)
@@ -184,9 +184,9 @@
 
     # -- what this router saw -----------------------------------------------------------------
 
-    def note_end(self, incarnation: str, upstream: str, breaks: list[Break]) -> None:
+    def note_end(self, incarnation: str, upstream: str, breaks: list[BrokenAttempt]) -> None:
         """Record that a life of an upstream ended and broke runs off."""
-        life = life_digest(incarnation)
+        life = incarnation_digest(incarnation)
         self._note_life(life)
         for broken in breaks:
             if self._was_sound_lately(broken.run.content):
@@ -197,13 +197,13 @@
                 self._write(record_key(mark), record_value(mark, upstream))
         self._judge()
 
-    def _mark(self, life: str, broken: Break) -> Mark:
+    def _mark(self, life: str, broken: BrokenAttempt) -> CrashObservation:
         run = broken.run
         at = self._day_s() - (trio.current_time() - broken.at)
         ran_s = broken.at - run.sent_at
         begun_s = broken.at - (run.sent_at if run.head_at is None else run.head_at)
         weak = begun_s > BEGUN_S or ran_s < ROUND_TRIP_S
-        return Mark(run.content, life, at, ran_s=ran_s, weak=weak, router=self._router)
+        return CrashObservation(run.content, life, at, ran_s=ran_s, weak=weak, router=self._router)
 
     def note_sound(self, content: str) -> None:
         """Record that a content was answered soundly: it is not why anything ended."""
@@ -249,7 +249,7 @@
             self._take_mark(replace(mark, at=min(mark.at, now + AHEAD_S)), record)
         self._judge()
 
-    def _take_mark(self, mark: Mark, record: KeyedRecord) -> None:
+    def _take_mark(self, mark: CrashObservation, record: KeyedRecord) -> None:
         if self._is_risen:
             self._shown[record.key] = mark
         if not mark.cleared and record.key in self._cleared_here:
@@ -278,7 +278,7 @@
     def _judge(self) -> None:
         """Work out whose fault the ends are, and say what has changed."""
         before = self._blame.held.keys()
-        self._blame = blamed(self._evidence.marks(), self._evidence.moments)
+        self._blame = assign_blame(self._evidence.marks(), self._evidence.moments)
         for content in self._blame.held.keys() - before:
             now = self._day_s()
             left_s = self._held_until(content, now) - now
@@ -307,7 +307,7 @@
         self._is_risen = False
         for mark in self._evidence.marks():
             key = record_key(mark)
-            if says_more(mark, self._shown.get(key)):
+            if supersedes(mark, self._shown.get(key)):
                 self._write(key, record_value(mark, ""))
         self._shown.clear()
 
--- a/railtide/containment/tests/test_operating.py
+++ b/railtide/containment/tests/test_admin.py
@@ -2,8 +2,8 @@
 
 import trio
 
+from railtide.containment.admin import content_states, lift
 from railtide.containment.holding import HOLD_S
-from railtide.containment.operating import content_states, lift
 from railtide.containment.registry import TOPIC
 from railtide.containment.tests.test_registry import BAD, GOOD, KNOWN_S, Fleet
 
--- a/railtide/containment/tests/test_blame.py
+++ b/railtide/containment/tests/test_blame.py
@@ -4,8 +4,8 @@
 from hypothesis import strategies as st
 
 from railtide.containment.blame import HOLD_WEIGHT, STRONG, Blame, moments_of, weight_of
-from railtide.containment.blame import blamed as judged
-from railtide.containment.evidence import Mark
+from railtide.containment.blame import assign_blame as judged
+from railtide.containment.observations import CrashObservation
 
 ENDS_TO_HOLD = HOLD_WEIGHT // STRONG
 LIVES = st.frozensets(st.integers(0, 7), max_size=6)
@@ -15,11 +15,11 @@
     return frozenset(f"life {number}" for number in numbers)
 
 
-def mark(life: object, at: float, content: str = "c", **fields: object) -> Mark:
-    return Mark(content, str(life), at, **fields)
+def mark(life: object, at: float, content: str = "c", **fields: object) -> CrashObservation:
+    return CrashObservation(content, str(life), at, **fields)
 
 
-def blamed(lives_by_content: dict[str, frozenset]) -> Blame:
+def blame_of_crashes(lives_by_content: dict[str, frozenset]) -> Blame:
     """Judge by ends of which each comes long behind the one before."""
     order = sorted({str(life) for ends in lives_by_content.values() for life in ends})
     at_by_life = {life: 10.0 * number for number, life in enumerate(order)}
@@ -32,53 +32,55 @@
 
 class TestBlame:
     def test_nobody_is_held_below_three_ends(self) -> None:
-        blame = blamed({"a": lives(1, 2), "b": lives(2)})
+        blame = blame_of_crashes({"a": lives(1, 2), "b": lives(2)})
         assert blame.held == {}
         assert blame.strikes_by_content == {"a": 2, "b": 1}
 
     def test_third_end_holds(self) -> None:
-        assert blamed({"a": lives(1, 2, 3)}).held == {"a": lives(1, 2, 3)}
+        assert blame_of_crashes({"a": lives(1, 2, 3)}).held == {"a": lives(1, 2, 3)}
 
     def test_ends_that_a_held_one_explains_count_against_nobody_else(self) -> None:
         beside = {f"innocent {n}": lives(*{1 + n % 3, 1 + (n + 1) % 3}) for n in range(40)}
-        blame = blamed({"bad": lives(1, 2, 3)} | beside)
+        blame = blame_of_crashes({"bad": lives(1, 2, 3)} | beside)
         assert set(blame.held) == {"bad"}
         assert blame.strikes_by_content == {}
 
     def test_one_with_an_end_of_its_own_keeps_that(self) -> None:
-        blame = blamed({"bad": lives(1, 2, 3), "other": lives(3, 4)})
+        blame = blame_of_crashes({"bad": lives(1, 2, 3), "other": lives(3, 4)})
         assert blame.strikes_by_content == {"other": 1}
 
     def test_most_ends_are_blamed_first(self) -> None:
-        blame = blamed({"bad": lives(1, 2, 3, 4), "beside": lives(1, 2, 4)})
+        blame = blame_of_crashes({"bad": lives(1, 2, 3, 4), "beside": lives(1, 2, 4)})
         assert set(blame.held) == {"bad"}
 
     def test_two_that_share_all_three_ends_are_not_held_yet(self) -> None:
-        blame = blamed({"one": lives(1, 2, 3), "other": lives(1, 2, 3)})
+        blame = blame_of_crashes({"one": lives(1, 2, 3), "other": lives(1, 2, 3)})
         assert blame.held == {}
         assert blame.strikes_by_content == {"one": 3, "other": 3}
 
     def test_two_that_share_two_of_three_ends_are_not_held_yet(self) -> None:
         """One was at a kill and at two ends of the other: which one is not told by their ends."""
         ends = {"one": lives(1, 2, 3), "other": lives(2, 3, 4)}
-        assert blamed(ends).held == {}
-        blame = blamed(ends | {"other": lives(2, 3, 4, 5)})
+        assert blame_of_crashes(ends).held == {}
+        blame = blame_of_crashes(ends | {"other": lives(2, 3, 4, 5)})
         assert set(blame.held) == {"other"}
         assert blame.strikes_by_content == {"one": 1}
 
     def test_fourth_end_tells_them_apart(self) -> None:
-        blame = blamed({"one": lives(1, 2, 3, 4), "other": lives(1, 2, 3)})
+        blame = blame_of_crashes({"one": lives(1, 2, 3, 4), "other": lives(1, 2, 3)})
         assert set(blame.held) == {"one"}
         assert blame.strikes_by_content == {}
 
     def test_two_that_share_four_ends_are_held(self) -> None:
-        assert set(blamed({"one": lives(1, 2, 3, 4), "other": lives(1, 2, 3, 4)}).held) == {
+        assert set(
+            blame_of_crashes({"one": lives(1, 2, 3, 4), "other": lives(1, 2, 3, 4)}).held
+        ) == {
             "one",
             "other",
         }
 
     def test_two_bad_ones_are_both_held(self) -> None:
-        blame = blamed({"a": lives(1, 2, 3), "b": lives(3, 4, 5, 6)})
+        blame = blame_of_crashes({"a": lives(1, 2, 3), "b": lives(3, 4, 5, 6)})
         assert set(blame.held) == {"a", "b"} or blame.strikes_by_content == {"a": 2}
 
     @given(LIVES.filter(lambda found: len(found) >= ENDS_TO_HOLD), st.lists(LIVES, max_size=5))
@@ -86,7 +88,7 @@
         self, bad: frozenset[int], beside: list[frozenset[int]]
     ) -> None:
         ends = {f"innocent {n}": seen & bad for n, seen in enumerate(beside)}
-        blame = blamed({"bad": bad} | ends)
+        blame = blame_of_crashes({"bad": bad} | ends)
         if any(seen == bad for seen in ends.values()):
             return  # whoever was at each end can't be told from it
         assert set(blame.held) == {"bad"}
--- a/railtide/containment/tests/test_ends.py
+++ b/railtide/containment/tests/test_crash_detection.py
@@ -4,14 +4,14 @@
 import trio
 import trio.testing
 
-from railtide.containment.ends import (
+from railtide.containment.crash_detection import (
     BREAK_KEPT_S,
     RESTART_S,
-    Break,
-    EndSign,
-    EndWatch,
+    BrokenAttempt,
+    CrashDetector,
+    CrashSign,
     ProbeResult,
-    UpstreamRun,
+    UpstreamAttempt,
 )
 from railtide.membership.instances import Instance
 
@@ -21,8 +21,8 @@
     return Instance(name, life, address, "z", "engine", "s", born=born)
 
 
-def run_of(content: str) -> UpstreamRun:
-    return UpstreamRun(content, sent_at=0.0)
+def run_of(content: str) -> UpstreamAttempt:
+    return UpstreamAttempt(content, sent_at=0.0)
 
 
 ONE = instance()
@@ -37,14 +37,14 @@
         self.may_answer = trio.Event()
         self.ended: list[tuple[str, list[str]]] = []
         self.ran_s: list[float] = []
-        self.watch = EndWatch(self._probe, self._take, nursery.start_soon)
+        self.watch = CrashDetector(self._probe, self._take, nursery.start_soon)
 
     async def _probe(self, upstream: Instance) -> ProbeResult:
         self.probes += 1
         await self.may_answer.wait()
         return self.found
 
-    def _take(self, upstream: Instance, breaks: list[Break]) -> None:
+    def _take(self, upstream: Instance, breaks: list[BrokenAttempt]) -> None:
         self.ended.append((upstream.incarnation, sorted(one.run.content for one in breaks)))
         self.ran_s += [one.at - one.run.sent_at for one in breaks]
 
@@ -91,7 +91,7 @@
         bench = Bench(nursery, ProbeResult.REFUSED)
         await trio.sleep(1.0)
         for ran_s in order:
-            run = UpstreamRun("a", trio.current_time() - ran_s)
+            run = UpstreamAttempt("a", trio.current_time() - ran_s)
             bench.watch.note_broken(ONE, run)
             await trio.sleep(0.001)
         await bench.answer()
@@ -102,9 +102,9 @@
     ) -> None:
         bench = Bench(nursery, ProbeResult.REFUSED)
         await trio.sleep(1.0)
-        bench.watch.note_broken(ONE, UpstreamRun("a", trio.current_time() - 0.9))
+        bench.watch.note_broken(ONE, UpstreamAttempt("a", trio.current_time() - 0.9))
         await trio.sleep(1.0)
-        bench.watch.note_broken(ONE, UpstreamRun("a", trio.current_time() - 0.1))
+        bench.watch.note_broken(ONE, UpstreamAttempt("a", trio.current_time() - 0.1))
         await bench.answer()
         assert [round(ran_s, 2) for ran_s in bench.ran_s] == [0.1]
 
@@ -127,12 +127,12 @@
     async def test_refused_connection_explains_an_earlier_break(self, nursery) -> None:
         bench = Bench(nursery, ProbeResult.UNKNOWN)
         bench.watch.note_broken(ONE, run_of("a"))
-        bench.watch.note_ended(ONE, EndSign.REFUSED)
+        bench.watch.note_ended(ONE, CrashSign.REFUSED)
         assert bench.ended == [("i-1", ["a"])]
 
     async def test_refused_connection_alone_blames_nobody(self, nursery) -> None:
         bench = Bench(nursery, ProbeResult.UNKNOWN)
-        bench.watch.note_ended(ONE, EndSign.REFUSED)
+        bench.watch.note_ended(ONE, CrashSign.REFUSED)
         assert bench.ended == []
 
     @pytest.mark.parametrize("found", [ProbeResult.CONNECTED, ProbeResult.UNKNOWN])
@@ -143,7 +143,7 @@
         bench.watch.note_broken(ONE, run_of("a"))
         await bench.answer()
         await trio.sleep(BREAK_KEPT_S + 1)
-        bench.watch.note_ended(ONE, EndSign.REFUSED)
+        bench.watch.note_ended(ONE, CrashSign.REFUSED)
         assert bench.ended == []
 
     async def test_end_behind_a_probe_that_found_it_alive_is_a_later_one(
@@ -154,7 +154,7 @@
         await bench.answer()
         await trio.sleep(0.5)
         bench.watch.note_broken(ONE, run_of("b"))
-        bench.watch.note_ended(ONE, EndSign.REFUSED)
+        bench.watch.note_ended(ONE, CrashSign.REFUSED)
         assert bench.ended == [("i-1", ["b"])]
 
     async def test_probe_that_found_a_new_life_does_not_hide_the_end(
@@ -190,7 +190,7 @@
         bench.watch.note_broken(ONE, run_of("a"))
         await bench.answer()
         await trio.sleep(RESTART_S / 2)
-        bench.watch.note_broken(ONE, UpstreamRun("b", trio.current_time()))
+        bench.watch.note_broken(ONE, UpstreamAttempt("b", trio.current_time()))
         await bench.answer()
         await trio.sleep(RESTART_S)
         bench.watch.note_listed([instance("i-2", "h:1")])
@@ -204,7 +204,7 @@
         await bench.answer()
         await trio.sleep(RESTART_S / 2)
         now = trio.current_time()
-        bench.watch.note_broken(ONE, UpstreamRun("b", now, head_at=now))
+        bench.watch.note_broken(ONE, UpstreamAttempt("b", now, head_at=now))
         await bench.answer()
         await trio.sleep(RESTART_S * 1.1)
         bench.watch.note_listed([instance("i-2", "h:1")])
@@ -215,11 +215,11 @@
     ) -> None:
         bench = Bench(nursery, ProbeResult.CONNECTED)
         for content in ("a", "b"):
-            bench.watch.note_broken(ONE, UpstreamRun(content, trio.current_time()))
+            bench.watch.note_broken(ONE, UpstreamAttempt(content, trio.current_time()))
             await bench.answer()
             await trio.sleep(0.1)
         now = trio.current_time()
-        bench.watch.note_broken(ONE, UpstreamRun("c", now))
+        bench.watch.note_broken(ONE, UpstreamAttempt("c", now))
         bench.watch.note_alive(ONE, sent_at=now)
         await bench.answer()
         await trio.sleep(RESTART_S * 1.1)
@@ -231,7 +231,7 @@
         bench.watch.note_broken(ONE, run_of("a"))
         await trio.sleep(0.5)
         bench.watch.note_alive(ONE, sent_at=trio.current_time())
-        bench.watch.note_ended(ONE, EndSign.REFUSED)
+        bench.watch.note_ended(ONE, CrashSign.REFUSED)
         assert bench.ended == []
 
     async def test_answer_to_what_was_sent_before_the_break_shows_nothing(
@@ -242,7 +242,7 @@
         await trio.sleep(0.5)
         bench.watch.note_broken(ONE, run_of("a"))
         bench.watch.note_alive(ONE, sent_at)
-        bench.watch.note_ended(ONE, EndSign.MOVED)
+        bench.watch.note_ended(ONE, CrashSign.MOVED)
         assert bench.ended == [("i-1", ["a"])]
 
     @pytest.mark.parametrize(
--- a/railtide/containment/tests/test_guard.py
+++ b/railtide/containment/tests/test_guard.py
@@ -3,7 +3,7 @@
 import pytest
 import trio
 
-from railtide.containment.ends import EndWatch, ProbeResult
+from railtide.containment.crash_detection import CrashDetector, ProbeResult
 from railtide.containment.errors import ContentHeld
 from railtide.containment.guard import JUDGED_S, SURVIVED_S, CrashGuard
 from railtide.containment.tests.test_registry import BAD, GOOD, Fleet
@@ -15,7 +15,7 @@
 
 
 def guard_of(fleet: Fleet) -> CrashGuard:
-    watch = EndWatch(refused, lambda instance, breaks: None, fleet.nursery.start_soon)
+    watch = CrashDetector(refused, lambda instance, breaks: None, fleet.nursery.start_soon)
     return CrashGuard(fleet.registries[0], watch)
 
 
--- a/railtide/containment/tests/test_interleavings.py
+++ b/railtide/containment/tests/test_interleavings.py
@@ -16,8 +16,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from railtide.containment.ends import Break, UpstreamRun
-from railtide.containment.placement import preferred
+from railtide.containment.crash_detection import BrokenAttempt, UpstreamAttempt
+from railtide.containment.placement import preferred_upstreams
 from railtide.containment.registry import CrashRegistry
 from railtide.standins.keyed_store import MemoryStore
 from railtide.telemetry.counters import Counters
@@ -96,7 +96,7 @@
     def _place(self, router: int, content: str) -> str:
         names = sorted(self.life_by_upstream)
         strikes = self.registries[router].strikes_by_content(content)
-        chosen = sorted(preferred(content, strikes, names)) if strikes else names
+        chosen = sorted(preferred_upstreams(content, strikes, names)) if strikes else names
         return chosen[next(self.numbers) % len(chosen)]
 
     async def bad(self, router: int) -> None:
@@ -114,7 +114,7 @@
         for router, registry in enumerate(self.registries):
             now = trio.current_time()
             breaks = [
-                Break(UpstreamRun(run.content, now - BEGUN_S), now)
+                BrokenAttempt(UpstreamAttempt(run.content, now - BEGUN_S), now)
                 for run in under_way
                 if run.router == router
             ]
--- a/railtide/containment/tests/test_placement.py
+++ b/railtide/containment/tests/test_placement.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from railtide.containment.placement import places, preferred
+from railtide.containment.placement import places, preferred_upstreams
 
 NAMES = [f"e{number}" for number in range(5)]
 STRIKES = st.dictionaries(st.sampled_from("abcdefgh"), st.integers(1, 4), max_size=8)
@@ -30,29 +30,29 @@
     def test_a_suspect_of_one_end_is_out_of_the_way(self, strikes: dict[str, int]) -> None:
         strikes = strikes | {"x": 1}
         taken = set(places(strikes, NAMES).values())
-        chosen = preferred("x", strikes, NAMES)
+        chosen = preferred_upstreams("x", strikes, NAMES)
         assert chosen
         assert taken == set(NAMES) or not chosen & taken
 
     @given(STRIKES)
     def test_all_copies_of_a_suspect_meet(self, strikes: dict[str, int]) -> None:
         for content in strikes:
-            chosen = preferred(content, strikes, NAMES)
+            chosen = preferred_upstreams(content, strikes, NAMES)
             assert len(chosen) == 1
-            assert preferred(content, strikes, NAMES[::-1]) == chosen
+            assert preferred_upstreams(content, strikes, NAMES[::-1]) == chosen
 
     def test_suspects_of_one_end_go_apart(self) -> None:
         """Story. A read and a bad content were at one end; the second tries of both went to the
         same upstream at once, and a third end, a kill, held the read."""
         strikes = {f"{number:032x}": 1 for number in range(40)}
-        beside = Counter(name for c in strikes for name in preferred(c, strikes, NAMES))
+        beside = Counter(name for c in strikes for name in preferred_upstreams(c, strikes, NAMES))
         assert set(beside) == set(NAMES)
         assert max(beside.values()) <= len(strikes) / 2
 
     def test_the_innocent_go_anywhere(self) -> None:
-        assert preferred("x", {"a": 2, "b": 2}, NAMES) == set(NAMES)
+        assert preferred_upstreams("x", {"a": 2, "b": 2}, NAMES) == set(NAMES)
 
     def test_without_upstreams_there_is_no_place(self) -> None:
         assert places({"a": 2}, []) == {}
         for strikes in (1, 2):
-            assert preferred("a", {"a": strikes}, []) == frozenset()
+            assert preferred_upstreams("a", {"a": strikes}, []) == frozenset()
--- a/railtide/containment/tests/test_registry.py
+++ b/railtide/containment/tests/test_registry.py
@@ -6,9 +6,14 @@
 import pytest
 import trio
 
-from railtide.containment.ends import Break, EndWatch, ProbeResult, UpstreamRun
-from railtide.containment.evidence import Mark
+from railtide.containment.crash_detection import (
+    BrokenAttempt,
+    CrashDetector,
+    ProbeResult,
+    UpstreamAttempt,
+)
 from railtide.containment.holding import HOLD_S, KEEP_S
+from railtide.containment.observations import CrashObservation
 from railtide.containment.records import mark_of, record_key, record_value, upstream_of
 from railtide.containment.registry import AHEAD_S, TOPIC, CrashRegistry
 from railtide.membership.instances import Instance
@@ -50,10 +55,10 @@
         await trio.sleep(KNOWN_S)
 
     @staticmethod
-    def breaks_of(contents: Iterable[str], begun_s: float) -> list[Break]:
+    def breaks_of(contents: Iterable[str], begun_s: float) -> list[BrokenAttempt]:
         """Return runs that began so long ago and break off now."""
         now = trio.current_time()
-        return [Break(UpstreamRun(content, now - begun_s), now) for content in contents]
+        return [BrokenAttempt(UpstreamAttempt(content, now - begun_s), now) for content in contents]
 
     def refused(self, content: str) -> list[bool]:
         return [registry.refusal_of(content) is not None for registry in self.registries]
@@ -248,7 +253,7 @@
     ) -> None:
         fleet = Fleet(nursery)
         now = trio.current_time()
-        breaks = [Break(UpstreamRun(GOOD, now - 0.2), now)]
+        breaks = [BrokenAttempt(UpstreamAttempt(GOOD, now - 0.2), now)]
         for number in range(4):
             fleet.registries[number % 2].note_end(f"i-{number}", f"i-{number}", breaks)
         await trio.sleep(KNOWN_S)
@@ -347,7 +352,7 @@
         fleet = Fleet(nursery)
         await trio.sleep(KNOWN_S)
         for number in range(3):
-            mark = Mark(BAD, f"{number:016x}", fleet.day_s + 10 * KEEP_S)
+            mark = CrashObservation(BAD, f"{number:016x}", fleet.day_s + 10 * KEEP_S)
             fleet.store.put(TOPIC, record_key(mark), record_value(mark, "i"))
         await trio.sleep(KNOWN_S)
         assert fleet.registries[0].refusal_of(BAD).retry_after <= HOLD_S
@@ -355,7 +360,7 @@
     async def test_mark_of_such_a_clock_is_kept_no_longer(self, nursery, autojump_clock) -> None:
         fleet = Fleet(nursery)
         await trio.sleep(KNOWN_S)
-        mark = Mark(GOOD, f"{1:016x}", fleet.day_s + 10 * KEEP_S)
+        mark = CrashObservation(GOOD, f"{1:016x}", fleet.day_s + 10 * KEEP_S)
         fleet.store.put(TOPIC, record_key(mark), record_value(mark, "i"))
         await trio.sleep(KNOWN_S)
         fleet.day_s += KEEP_S + 2 * AHEAD_S
@@ -472,7 +477,7 @@
     """
 
     @staticmethod
-    def watch_of(fleet: Fleet, router: int) -> EndWatch:
+    def watch_of(fleet: Fleet, router: int) -> CrashDetector:
         """Return a watch that tells a router's registry of ends as late as the lines say."""
 
         async def probe(instance: Instance) -> ProbeResult:
@@ -480,10 +485,10 @@
             await trio.sleep(seen[0][-1])
             return ProbeResult.REFUSED
 
-        def on_end(instance: Instance, breaks: list[Break]) -> None:
+        def on_end(instance: Instance, breaks: list[BrokenAttempt]) -> None:
             fleet.registries[router].note_end(instance.incarnation, instance.name, breaks)
 
-        return EndWatch(probe, on_end, fleet.nursery.start_soon)
+        return CrashDetector(probe, on_end, fleet.nursery.start_soon)
 
     async def play(self, fleet: Fleet) -> list[str]:
         """Play the scene; return all contents that were held in it."""
@@ -496,7 +501,7 @@
         for at, router, life, content, sent_at, _ in BUSY_ENDS:
             await trio.sleep_until(began + at)
             instance = Instance(life, life, f"{life}:1", "z", "engine")
-            watches[router].note_broken(instance, UpstreamRun(content, began + sent_at))
+            watches[router].note_broken(instance, UpstreamAttempt(content, began + sent_at))
         await trio.sleep(KNOWN_S)
         return held
 
@@ -541,8 +546,8 @@
         began = trio.current_time()
         for at, router, life, content, sent_at in sorted(lines):
             await trio.sleep_until(began + at)
-            run = UpstreamRun(content, began + sent_at)
-            fleet.registries[router].note_end(life, life, [Break(run, began + at)])
+            run = UpstreamAttempt(content, began + sent_at)
+            fleet.registries[router].note_end(life, life, [BrokenAttempt(run, began + at)])
         await trio.sleep(KNOWN_S)
         assert [registry.held for registry in fleet.registries] == [{BAD}] * 2
         fleet.registries[1].note_sound(OTHER)
--- a/railtide/edge/node.py
+++ b/railtide/edge/node.py
@@ -12,7 +12,7 @@
 from railtide.clocks import Suspensions
 from railtide.configuration.errors import InvalidObject
 from railtide.configuration.snapshot import Snapshot
-from railtide.containment.ends import Break, EndWatch
+from railtide.containment.crash_detection import BrokenAttempt, CrashDetector
 from railtide.containment.guard import CrashGuard
 from railtide.containment.registry import TOPIC as MARKS_TOPIC
 from railtide.containment.registry import CrashRegistry
@@ -179,7 +179,7 @@
             lambda: self.counters.add("suspensions"),
         )
         self.until_current = self._waking.until_current
-        self._ends = EndWatch(upstreams.probe, self._note_end, self._start_soon)
+        self._ends = CrashDetector(upstreams.probe, self._note_end, self._start_soon)
         services = Services(
             upstreams,
             options.requests,
@@ -399,7 +399,7 @@
 
     # -- upstreams that end -------------------------------------------------------------------
 
-    def _note_end(self, instance: Instance, breaks: list[Break]) -> None:
+    def _note_end(self, instance: Instance, breaks: list[BrokenAttempt]) -> None:
         self._crashes.note_end(instance.incarnation, instance.name, breaks)
 
     def _is_owner_of(self, content: str) -> bool:
--- a/railtide/edge/pools.py
+++ b/railtide/edge/pools.py
@@ -6,7 +6,7 @@
 import trio
 
 from railtide.configuration.routes import PoolSettings
-from railtide.containment.records import life_digest
+from railtide.containment.records import incarnation_digest
 from railtide.lanes.scheduler import PoolScheduler
 from railtide.membership.drained_domains import DrainedDomains
 from railtide.membership.instances import Instance
@@ -154,7 +154,7 @@
         """Use a life that ended no more, by its digest, whichever router saw its end."""
         for scheduler in self.schedulers_by_pool.values():
             for upstream in scheduler.by_name.values():
-                if life_digest(upstream.instance.incarnation) == life:
+                if incarnation_digest(upstream.instance.incarnation) == life:
                     note_end(upstream, trio.current_time())
 
 
--- a/railtide/platform/contents.py
+++ b/railtide/platform/contents.py
@@ -6,8 +6,8 @@
 import msgspec
 import trio
 
-from railtide.containment.operating import content_states
-from railtide.containment.operating import lift as lift_content
+from railtide.containment.admin import content_states
+from railtide.containment.admin import lift as lift_content
 from railtide.platform.store import PlatformStore
 from railtide.settings import endpoint, run_program
 from railtide.telemetry.counters import Counters
--- a/railtide/platform/tests/test_contents.py
+++ b/railtide/platform/tests/test_contents.py
@@ -5,7 +5,7 @@
 import msgspec
 import trio
 
-from railtide.containment.evidence import Mark
+from railtide.containment.observations import CrashObservation
 from railtide.containment.records import record_key, record_value
 from railtide.containment.registry import TOPIC
 from railtide.platform.tests.hosts import HOST
@@ -26,7 +26,7 @@
     async def test_held_content_is_shown_and_lifted(self, nursery) -> None:
         store = MemoryStore()
         for number in range(3):
-            mark = Mark(CONTENT, f"{number:016x}", at=1.0)
+            mark = CrashObservation(CONTENT, f"{number:016x}", at=1.0)
             store.put(TOPIC, record_key(mark), record_value(mark, f"i-{number}"))
         address = f"{HOST}:{await serve(nursery, StoreServer(store).handle)}"
         (shown,) = await run("show", "--store", address)
--- a/railtide/platform/tests/test_crashing_requests.py
+++ b/railtide/platform/tests/test_crashing_requests.py
@@ -28,7 +28,7 @@
 import pytest
 import trio
 
-from railtide.containment.ends import ProbeResult
+from railtide.containment.crash_detection import ProbeResult
 from railtide.containment.registry import TOPIC
 from railtide.edge.node import EdgeNode
 from railtide.edge.options import EdgeOptions
--- a/railtide/platform/upstreams.py
+++ b/railtide/platform/upstreams.py
@@ -5,7 +5,7 @@
 
 import trio
 
-from railtide.containment.ends import ProbeResult
+from railtide.containment.crash_detection import ProbeResult
 from railtide.http.client import Exchange, PeerPool, connect_tcp_stream
 from railtide.http.errors import ConnectFailed, ConnectRefused, HttpError
 from railtide.http.messages import Headers, HttpRequest, first_header, without_hop_by_hop
--- a/railtide/requests/execution.py
+++ b/railtide/requests/execution.py
@@ -9,7 +9,7 @@
 
 from railtide.budgets.messages import Waste
 from railtide.budgets.treasury import Reservation
-from railtide.containment.ends import UpstreamRun
+from railtide.containment.crash_detection import UpstreamAttempt
 from railtide.containment.errors import ContentHeld
 from railtide.errors import RailtideError, Run
 from railtide.journal.entries import Code, Verdict
@@ -229,8 +229,8 @@
     def _running(self) -> AbstractContextManager[trio.CancelScope]:
         return self._services.guard.running(self._call.content, lambda: self._relay.head_at)
 
-    def _last_run(self) -> UpstreamRun:
-        return UpstreamRun(self._call.content, self._sent_at, self._relay.head_at)
+    def _last_run(self) -> UpstreamAttempt:
+        return UpstreamAttempt(self._call.content, self._sent_at, self._relay.head_at)
 
     async def _note_end(self, upstream: Upstream, err: UpstreamError) -> None:
         """Tell the guard of a try that failed; one at an upstream that is leaving tells nothing.
--- a/railtide/upstreams/client.py
+++ b/railtide/upstreams/client.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from railtide.containment.ends import ProbeResult
+from railtide.containment.crash_detection import ProbeResult
 from railtide.http.messages import Headers
 from railtide.membership.instances import Instance
 from railtide.upstreams.load import LoadReport
