--- a/bench/transfers.py
+++ b/bench/transfers.py
@@ -91,7 +91,9 @@
 
 
 def mark() -> tuple[str, bytes]:
-    found = CrashObservation("c" * 32, "a" * 16, 1.79e9, ran_s=0.123, router="edge-region-1-0123")
+    found = CrashObservation(
+        "c" * 32, "a" * 16, 1.79e9, elapsed_s=0.123, router="edge-region-1-0123"
+    )
     return record_key(found), record_value(found, "engine-01234")
 
 
@@ -227,7 +229,7 @@
     sources = PlatformSources()
     state_now, state = state_record(ROUTES_NOW, 24), state_record(ROUTES_NOW, BUDGETS)
     marks = [
-        CrashObservation(f"{n:032x}", f"{n % 500:016x}", 1e9 + n % 500, ran_s=0.1)
+        CrashObservation(f"{n:032x}", f"{n % 500:016x}", 1e9 + n % 500, elapsed_s=0.1)
         for n in range(4_096)
     ]
     candidates = [
--- a/railtide/containment/admin.py
+++ b/railtide/containment/admin.py
@@ -62,7 +62,7 @@
     ends = {content: len(lives) for content, lives in blame.held.items()}
     states = [
         _state(content, count, evidence.marks_of(content), record_by_mark, content in ends, now)
-        for content, count in (ends | blame.strikes_by_content).items()
+        for content, count in (ends | blame.crash_count_by_content).items()
     ]
     return sorted(states, key=lambda state: (not state.held, -state.ends, state.content))
 
--- a/railtide/containment/blame.py
+++ b/railtide/containment/blame.py
@@ -52,12 +52,12 @@
     ----------
     held : dict of str to frozenset of str
         Contents that are not to be sent on, and the lives that ended under them.
-    strikes_by_content : dict of str to int
+    crash_count_by_content : dict of str to int
         For each other content, the ends that no held one explains.
     """
 
     held: dict[str, frozenset[str]] = field(default_factory=dict)
-    strikes_by_content: dict[str, int] = field(default_factory=dict)
+    crash_count_by_content: dict[str, int] = field(default_factory=dict)
 
 
 def assign_blame(marks: Iterable[CrashObservation], moments: DetectionTimes | None = None) -> Blame:
@@ -79,11 +79,11 @@
     Examples
     --------
     >>> def at(content, *lives):
-    ...     return [Mark(content, str(life), at=10.0 * life) for life in lives]
-    >>> blame = blamed([*at("bad", 1, 2, 3), *at("beside", 2, 3), *at("once", 9)])
-    >>> sorted(blame.held), blame.strikes_by_content
+    ...     return [CrashObservation(content, str(life), at=10.0 * life) for life in lives]
+    >>> blame = assign_blame([*at("bad", 1, 2, 3), *at("beside", 2, 3), *at("once", 9)])
+    >>> sorted(blame.held), blame.crash_count_by_content
     (['bad'], {'once': 1})
-    >>> blamed([*at("one", 1, 2, 3), *at("other", 1, 2, 3)]).held
+    >>> assign_blame([*at("one", 1, 2, 3), *at("other", 1, 2, 3)]).held
     {}
     """
     every = list(marks)
@@ -98,7 +98,7 @@
             held[content] = _lives(left.pop(content))
         explained = frozenset().union(*(held[content] for content in sure))
         left = {
-            content: [mark for mark in marks_of if mark.life not in explained]
+            content: [mark for mark in marks_of if mark.incarnation not in explained]
             for content, marks_of in left.items()
         }
     strikes = {content: len(ends_of(found, moments)) for content, found in left.items() if found}
@@ -109,7 +109,7 @@
     """Return when which router saw the end of each life."""
     moments: dict[str, dict[str, float]] = {}
     for mark in marks:
-        seen = moments.setdefault(mark.life, {})
+        seen = moments.setdefault(mark.incarnation, {})
         seen[mark.router] = min(mark.at, seen.get(mark.router, mark.at))
     return moments
 
@@ -121,8 +121,10 @@
 
     Examples
     --------
-    >>> together = [Mark("c", "1", 10.0, ran_s=0.5), Mark("c", "2", 10.01, ran_s=0.4)]
-    >>> in_turn = [Mark("c", "1", 10.0, ran_s=0.5), Mark("c", "2", 10.02, ran_s=0.02)]
+    >>> def at(incarnation, at, elapsed_s):
+    ...     return CrashObservation("c", incarnation, at, elapsed_s=elapsed_s)
+    >>> together = [at("1", 10.0, 0.5), at("2", 10.01, 0.4)]
+    >>> in_turn = [at("1", 10.0, 0.5), at("2", 10.02, 0.02)]
     >>> [len(ends_of(marks, moments_of(marks))) for marks in (together, in_turn)]
     [1, 2]
     """
@@ -139,10 +141,10 @@
 
 def _is_same_end(one: CrashObservation, other: CrashObservation, moments: DetectionTimes) -> bool:
     """Return whether a router saw both ends at one moment, at which both runs were there."""
-    both = moments[one.life].keys() & moments[other.life].keys()
+    both = moments[one.incarnation].keys() & moments[other.incarnation].keys()
     for router in _witnesses((one, other), both):
-        gap_s = moments[one.life][router] - moments[other.life][router]
-        both_ran = -other.ran_s < gap_s - OVERLAP_S and gap_s + OVERLAP_S < one.ran_s
+        gap_s = moments[one.incarnation][router] - moments[other.incarnation][router]
+        both_ran = -other.elapsed_s < gap_s - OVERLAP_S and gap_s + OVERLAP_S < one.elapsed_s
         if both_ran and abs(gap_s) <= SAME_MOMENT_S:
             return True
     return False
@@ -167,7 +169,7 @@
     """Return when each router first saw one of the lives that ended together."""
     seen: dict[str, float] = {}
     for mark in end:
-        for router, at in moments[mark.life].items():
+        for router, at in moments[mark.incarnation].items():
             seen[router] = min(at, seen.get(router, at))
     return seen
 
@@ -176,9 +178,9 @@
     mark: CrashObservation, ends: Sequence[Mapping[str, float]], moments: DetectionTimes
 ) -> bool:
     """Return whether a run was sent before one of some ends, by a router that saw both."""
-    at_by_router = moments[mark.life] | {mark.router: mark.at}
+    at_by_router = moments[mark.incarnation] | {mark.router: mark.at}
     return any(
-        at_by_router[router] - mark.ran_s < seen[router] - OVERLAP_S
+        at_by_router[router] - mark.elapsed_s < seen[router] - OVERLAP_S
         for seen in ends
         for router in _witnesses((mark,), at_by_router.keys() & seen.keys())
     )
@@ -194,7 +196,7 @@
 
 
 def _lives(marks: Sequence[CrashObservation]) -> frozenset[str]:
-    return frozenset(mark.life for mark in marks)
+    return frozenset(mark.incarnation for mark in marks)
 
 
 def _surely_worst(
--- a/railtide/containment/crash_detection.py
+++ b/railtide/containment/crash_detection.py
@@ -163,7 +163,7 @@
             watched.probe = None
             over.set()
 
-    async def settled(self, instance: Instance) -> None:
+    async def wait_for_probe(self, instance: Instance) -> None:
         """Wait for a moment until it is known whether an upstream whose answer broke off lives."""
         watched = self._watched_by_life.get(instance.incarnation)
         if watched and watched.probe is not None:
--- a/railtide/containment/guard.py
+++ b/railtide/containment/guard.py
@@ -47,7 +47,7 @@
         """Return where a content had best run, None for one that is no suspect."""
 
     @abstractmethod
-    def running(
+    def cancel_scope_for(
         self, content: str, head_at: Callable[[], float | None]
     ) -> AbstractContextManager[trio.CancelScope]:
         """Return a scope for one run, which is cancelled if the content comes to be held.
@@ -66,10 +66,10 @@
         """Take how a try failed; returns once it is known whether its upstream lives, or soon."""
 
     @abstractmethod
-    def note_answer(self, instance: Instance, run: UpstreamAttempt, sound: bool) -> None:
+    def note_answer(self, instance: Instance, run: UpstreamAttempt, complete: bool) -> None:
         """Record that an upstream answered a run whole.
 
-        `sound` is whether the answer shows that the content was run to its end.
+        `complete` is whether the answer shows that the content was run to its end.
         """
 
 
@@ -83,10 +83,10 @@
         """Return None; see `ContentGuard.preference_of`."""
         return None
 
-    def running(
+    def cancel_scope_for(
         self, content: str, head_at: Callable[[], float | None]
     ) -> AbstractContextManager[trio.CancelScope]:
-        """Return a scope that nothing cancels; see `ContentGuard.running`."""
+        """Return a scope that nothing cancels; see `ContentGuard.cancel_scope_for`."""
         return trio.CancelScope()
 
     async def note_failure(
@@ -94,7 +94,7 @@
     ) -> None:
         """Learn nothing; see `ContentGuard.note_failure`."""
 
-    def note_answer(self, instance: Instance, run: UpstreamAttempt, sound: bool) -> None:
+    def note_answer(self, instance: Instance, run: UpstreamAttempt, complete: bool) -> None:
         """Learn nothing; see `ContentGuard.note_answer`."""
 
 
@@ -138,16 +138,16 @@
 
     def preference_of(self, content: str) -> Preference | None:
         """Return the upstreams that keep it apart; see `ContentGuard.preference_of`."""
-        strikes = self._registry.strikes_by_content(content)
+        strikes = self._registry.suspect_crash_counts(content)
         if not strikes:
             return None
         return lambda names: preferred_upstreams(content, strikes, names)
 
     @contextmanager
-    def running(
+    def cancel_scope_for(
         self, content: str, head_at: Callable[[], float | None]
     ) -> Iterator[trio.CancelScope]:
-        """Yield a scope for the run; see `ContentGuard.running`."""
+        """Yield a scope for the run; see `ContentGuard.cancel_scope_for`."""
         runs = self._runs_by_content.setdefault(content, [])
         with trio.CancelScope() as scope:
             run = _Running(scope, head_at)
@@ -182,10 +182,10 @@
             self._watch.note_alive(instance, run.sent_at)
         elif isinstance(err, UpstreamBroken):
             self._watch.note_broken(instance, run)
-            await self._watch.settled(instance)
+            await self._watch.wait_for_probe(instance)
 
-    def note_answer(self, instance: Instance, run: UpstreamAttempt, sound: bool) -> None:
+    def note_answer(self, instance: Instance, run: UpstreamAttempt, complete: bool) -> None:
         """Take an answer; see `ContentGuard.note_answer`."""
         self._watch.note_alive(instance, run.sent_at)
-        if sound:
-            self._registry.note_sound(run.content)
+        if complete:
+            self._registry.note_completed(run.content)
--- a/railtide/containment/holding.py
+++ b/railtide/containment/holding.py
@@ -30,7 +30,7 @@
 
     Examples
     --------
-    >>> marks = [Mark("c", str(life), at=10.0 * life) for life in range(6)]
+    >>> marks = [CrashObservation("c", str(life), at=10.0 * life) for life in range(6)]
     >>> [held_until(seen, now=60.0) for seen in (marks[:3], marks[:4], marks)]
     [620.0, 2430.0, 86450.0]
     """
@@ -49,8 +49,8 @@
 
     Examples
     --------
-    >>> evidence = Evidence()
-    >>> _ = [evidence.add(Mark(c, life, at)) for c, life, at in
+    >>> evidence = ObservationSet()
+    >>> _ = [evidence.add(CrashObservation(c, life, at)) for c, life, at in
     ...      [("a", "1", 0.0), ("b", "1", 90_000.0), ("c", "1", 90_001.0), ("c", "2", 90_001.0)]]
     >>> [mark.content for mark in surplus(evidence, now=90_002.0)]
     ['a']
--- a/railtide/containment/observations.py
+++ b/railtide/containment/observations.py
@@ -22,13 +22,13 @@
 
     Attributes
     ----------
-    content, life : str
+    content, incarnation : str
         Digests.
     at : float
         When, Unix seconds by the clock of the router that saw it.
     router : str
         That router.
-    ran_s : float
+    elapsed_s : float
         For how long it had been there by then, seconds.
     weak : bool
         Whether the end is hardly its fault: the upstream had begun it long before, or had ended
@@ -38,10 +38,10 @@
     """
 
     content: str
-    life: str
+    incarnation: str
     at: float
     cleared: bool = False
-    ran_s: float = 0.0
+    elapsed_s: float = 0.0
     weak: bool = False
     router: str = ""
 
@@ -51,14 +51,16 @@
 
     Examples
     --------
-    >>> evidence = Evidence()
-    >>> evidence.add(Mark("c", "life 1", at=5.0))
+    >>> evidence = ObservationSet()
+    >>> seen = CrashObservation("c", "i-1", at=5.0)
+    >>> evidence.add(seen)
     True
-    >>> evidence.add(Mark("c", "life 1", at=5.0)), evidence.lives("c")
-    (False, frozenset({'life 1'}))
-    >>> evidence.add(Mark("c", "life 1", at=5.0, cleared=True)), evidence.lives("c")
+    >>> evidence.add(seen), evidence.incarnations("c")
+    (False, frozenset({'i-1'}))
+    >>> cleared = CrashObservation("c", "i-1", at=5.0, cleared=True)
+    >>> evidence.add(cleared), evidence.incarnations("c")
     (True, frozenset())
-    >>> evidence.add(Mark("c", "life 1", at=5.0)), evidence.lives("c")
+    >>> evidence.add(seen), evidence.incarnations("c")
     (False, frozenset())
     """
 
@@ -79,31 +81,31 @@
         A cleared one stays so, and one that is not weak stays that. Else the longer run counts:
         for so long the upstream had lived with the content.
         """
-        moments = self._moments.setdefault(mark.life, {})
+        moments = self._moments.setdefault(mark.incarnation, {})
         moments[mark.router] = min(mark.at, moments.get(mark.router, mark.at))
         marks = self._marks_by_content.setdefault(mark.content, {})
-        known = marks.get(mark.life)
+        known = marks.get(mark.incarnation)
         if known and _rank(known) >= _rank(mark):
             return False
-        self._marks_by_life[mark.life] += not known
-        marks[mark.life] = mark
+        self._marks_by_life[mark.incarnation] += not known
+        marks[mark.incarnation] = mark
         return True
 
     def outranking(self, mark: CrashObservation) -> CrashObservation | None:
         """Return the mark that is known of the same content and life, if it says more."""
-        known = self._marks_by_content.get(mark.content, {}).get(mark.life)
+        known = self._marks_by_content.get(mark.content, {}).get(mark.incarnation)
         return known if known and _rank(known) > _rank(mark) else None
 
     def drop(self, mark: CrashObservation) -> None:
         """Forget a mark."""
         marks = self._marks_by_content.get(mark.content, {})
-        if not marks.pop(mark.life, None):
+        if not marks.pop(mark.incarnation, None):
             return
         if not marks:
             del self._marks_by_content[mark.content]
-        self._marks_by_life[mark.life] -= 1
-        if not self._marks_by_life[mark.life]:
-            del self._marks_by_life[mark.life], self._moments[mark.life]
+        self._marks_by_life[mark.incarnation] -= 1
+        if not self._marks_by_life[mark.incarnation]:
+            del self._marks_by_life[mark.incarnation], self._moments[mark.incarnation]
 
     def marks(self) -> Iterator[CrashObservation]:
         """Return all marks."""
@@ -119,9 +121,9 @@
         marks = self._marks_by_content.get(content, {})
         return [mark for mark in marks.values() if not mark.cleared]
 
-    def lives(self, content: str) -> frozenset[str]:
+    def incarnations(self, content: str) -> frozenset[str]:
         """Return the lives that ended with a content under way and not cleared of it."""
-        return frozenset(mark.life for mark in self.marks_of(content))
+        return frozenset(mark.incarnation for mark in self.marks_of(content))
 
 
 def supersedes(mark: CrashObservation, known: CrashObservation | None) -> bool:
@@ -133,4 +135,4 @@
     """Return which of two marks of one content and life goes before the other."""
     if mark.cleared:
         return 2, 0.0
-    return (0 if mark.weak else 1), mark.ran_s
+    return (0 if mark.weak else 1), mark.elapsed_s
--- a/railtide/containment/placement.py
+++ b/railtide/containment/placement.py
@@ -52,11 +52,11 @@
     Examples
     --------
     >>> strikes = {"a": 2, "c": 1}
-    >>> (place,) = preferred("a", strikes, ["e1", "e2", "e3"])
-    >>> (other,) = preferred("c", strikes, ["e1", "e2", "e3"])
+    >>> (place,) = preferred_upstreams("a", strikes, ["e1", "e2", "e3"])
+    >>> (other,) = preferred_upstreams("c", strikes, ["e1", "e2", "e3"])
     >>> other != place
     True
-    >>> sorted(preferred("new", strikes, ["e1", "e2"]))
+    >>> sorted(preferred_upstreams("new", strikes, ["e1", "e2"]))
     ['e1', 'e2']
     """
     strikes = strikes_by_content.get(content, 0)
--- a/railtide/containment/records.py
+++ b/railtide/containment/records.py
@@ -28,7 +28,7 @@
         Unix seconds.
     upstream, router : str
         The upstream that ended, and who saw it, for people.
-    cleared, ran_s, weak
+    cleared, elapsed_s, weak
         See `CrashObservation`.
     """
 
@@ -36,7 +36,7 @@
     upstream: Annotated[str, msgspec.Meta(max_length=MOST_NAME)]
     router: Annotated[str, msgspec.Meta(max_length=MOST_NAME)]
     cleared: bool = False
-    ran_s: Annotated[float, msgspec.Meta(ge=0, le=MOST_UNIX_S)] = 0.0
+    elapsed_s: Annotated[float, msgspec.Meta(ge=0, le=MOST_UNIX_S)] = 0.0
     weak: bool = False
 
 
@@ -48,21 +48,23 @@
 
     Examples
     --------
-    >>> len(life_digest("i-1/17900")), life_digest("i-1/17900") == life_digest("i-1/17901")
-    (16, False)
+    >>> len(incarnation_digest("i-1/17900"))
+    16
+    >>> incarnation_digest("i-1/17900") == incarnation_digest("i-1/17901")
+    False
     """
     return blake2b(incarnation.encode(), digest_size=LIFE_BYTES, person=PURPOSE).hexdigest()
 
 
 def record_key(mark: CrashObservation) -> str:
     """Return the key of a mark: the same whoever saw it."""
-    return f"{mark.content}/{mark.life}"
+    return f"{mark.content}/{mark.incarnation}"
 
 
 def record_value(mark: CrashObservation, upstream: str) -> bytes:
     """Return what stands under it."""
     names = upstream[:MOST_NAME], mark.router[:MOST_NAME]
-    value = _Value(mark.at, *names, mark.cleared, mark.ran_s, mark.weak)
+    value = _Value(mark.at, *names, mark.cleared, mark.elapsed_s, mark.weak)
     return msgspec.msgpack.encode(value)
 
 
@@ -81,7 +83,7 @@
 
     Examples
     --------
-    >>> mark = Mark("c" * 32, "a" * 16, at=5.0, router="r1")
+    >>> mark = CrashObservation("c" * 32, "a" * 16, at=5.0, router="r1")
     >>> mark_of(KeyedRecord(record_key(mark), record_value(mark, "i-1"), 0)) == mark
     True
     """
@@ -92,5 +94,5 @@
         value = _decoder.decode(record.value)
     except (msgspec.DecodeError, RecursionError) as err:
         raise InvalidObject(str(err)) from err
-    seen = value.at, value.cleared, value.ran_s, value.weak, value.router
+    seen = value.at, value.cleared, value.elapsed_s, value.weak, value.router
     return CrashObservation(found[1], found[2], *seen)
--- a/railtide/containment/registry.py
+++ b/railtide/containment/registry.py
@@ -95,7 +95,7 @@
         is_owner: Callable[[str], bool] = lambda content: True,
         day_s: Callable[[], float] = time.time,
     ) -> None:
-        self.on_life_ended: Callable[[str], None] = lambda life: None
+        self.on_crash: Callable[[str], None] = lambda incarnation: None
         self.on_held: Callable[[str], None] = lambda content: None
         self._store = store
         self._router = router
@@ -172,19 +172,19 @@
         """Return for how long a content has been held by what is known here, seconds."""
         return trio.current_time() - self._held_at.get(content, trio.current_time())
 
-    def strikes_by_content(self, content: str) -> dict[str, int]:
+    def suspect_crash_counts(self, content: str) -> dict[str, int]:
         """Return the ends that suspects have to answer for, if a content is one of them.
 
         A content that was held and is tried again counts with all of its own.
         """
-        strikes = self._blame.strikes_by_content
+        strikes = self._blame.crash_count_by_content
         if content in self._blame.held:
             return strikes | {content: len(self._blame.held[content])}
         return strikes if content in strikes else {}
 
     # -- what this router saw -----------------------------------------------------------------
 
-    def note_end(self, incarnation: str, upstream: str, breaks: list[BrokenAttempt]) -> None:
+    def note_crash(self, incarnation: str, upstream: str, breaks: list[BrokenAttempt]) -> None:
         """Record that a life of an upstream ended and broke runs off."""
         life = incarnation_digest(incarnation)
         self._note_life(life)
@@ -200,12 +200,14 @@
     def _mark(self, life: str, broken: BrokenAttempt) -> CrashObservation:
         run = broken.run
         at = self._day_s() - (trio.current_time() - broken.at)
-        ran_s = broken.at - run.sent_at
+        elapsed_s = broken.at - run.sent_at
         begun_s = broken.at - (run.sent_at if run.head_at is None else run.head_at)
-        weak = begun_s > BEGUN_S or ran_s < ROUND_TRIP_S
-        return CrashObservation(run.content, life, at, ran_s=ran_s, weak=weak, router=self._router)
+        weak = begun_s > BEGUN_S or elapsed_s < ROUND_TRIP_S
+        return CrashObservation(
+            run.content, life, at, elapsed_s=elapsed_s, weak=weak, router=self._router
+        )
 
-    def note_sound(self, content: str) -> None:
+    def note_completed(self, content: str) -> None:
         """Record that a content was answered soundly: it is not why anything ended."""
         self._sound_at.pop(content, None)
         self._sound_at[content] = trio.current_time()
@@ -260,14 +262,14 @@
             self._write(record.key, record_value(known, upstream_of(record)))
         if not self._evidence.add(mark) or mark.cleared:
             return
-        self._note_life(mark.life)
+        self._note_life(mark.incarnation)
         if self._was_sound_lately(mark.content):
             self._clear(mark.content)
 
     def _note_life(self, life: str) -> None:
         if life not in self._known_lives:
             self._known_lives.add(life)
-            self.on_life_ended(life)
+            self.on_crash(life)
 
     def _tell_unreadable(self, key: str, error: str) -> None:
         """Say once that another writer leaves records in the topic."""
@@ -351,6 +353,6 @@
             self._cleared_here.pop(record_key(mark), None)
             if self._is_owner(mark.content):
                 self._write(record_key(mark), b"")
-        self._known_lives = {mark.life for mark in self._evidence.marks()}
+        self._known_lives = {mark.incarnation for mark in self._evidence.marks()}
         if forgotten:
             self._judge()
--- a/railtide/containment/tests/test_crash_detection.py
+++ b/railtide/containment/tests/test_crash_detection.py
@@ -36,7 +36,7 @@
         self.probes = 0
         self.may_answer = trio.Event()
         self.ended: list[tuple[str, list[str]]] = []
-        self.ran_s: list[float] = []
+        self.elapsed_s: list[float] = []
         self.watch = CrashDetector(self._probe, self._take, nursery.start_soon)
 
     async def _probe(self, upstream: Instance) -> ProbeResult:
@@ -46,7 +46,7 @@
 
     def _take(self, upstream: Instance, breaks: list[BrokenAttempt]) -> None:
         self.ended.append((upstream.incarnation, sorted(one.run.content for one in breaks)))
-        self.ran_s += [one.at - one.run.sent_at for one in breaks]
+        self.elapsed_s += [one.at - one.run.sent_at for one in breaks]
 
     async def answer(self) -> None:
         self.may_answer.set()
@@ -90,12 +90,12 @@
     ) -> None:
         bench = Bench(nursery, ProbeResult.REFUSED)
         await trio.sleep(1.0)
-        for ran_s in order:
-            run = UpstreamAttempt("a", trio.current_time() - ran_s)
+        for elapsed_s in order:
+            run = UpstreamAttempt("a", trio.current_time() - elapsed_s)
             bench.watch.note_broken(ONE, run)
             await trio.sleep(0.001)
         await bench.answer()
-        assert [round(ran_s, 2) for ran_s in bench.ran_s] == [0.4]
+        assert [round(elapsed_s, 2) for elapsed_s in bench.elapsed_s] == [0.4]
 
     async def test_run_behind_an_earlier_break_counts_for_itself(
         self, nursery, autojump_clock
@@ -106,20 +106,20 @@
         await trio.sleep(1.0)
         bench.watch.note_broken(ONE, UpstreamAttempt("a", trio.current_time() - 0.1))
         await bench.answer()
-        assert [round(ran_s, 2) for ran_s in bench.ran_s] == [0.1]
+        assert [round(elapsed_s, 2) for elapsed_s in bench.elapsed_s] == [0.1]
 
     async def test_second_try_waits_for_the_word_on_its_first(self, nursery) -> None:
         bench = Bench(nursery, ProbeResult.REFUSED)
         bench.watch.note_broken(ONE, run_of("a"))
         nursery.start_soon(bench.answer)
-        await bench.watch.settled(ONE)
+        await bench.watch.wait_for_probe(ONE)
         assert bench.ended == [("i-1", ["a"])]
 
     async def test_silent_upstream_is_not_waited_for(self, nursery, autojump_clock) -> None:
         bench = Bench(nursery, ProbeResult.UNKNOWN)
         bench.watch.note_broken(ONE, run_of("a"))
         began = trio.current_time()
-        await bench.watch.settled(ONE)
+        await bench.watch.wait_for_probe(ONE)
         assert trio.current_time() - began <= 0.1
 
 
--- a/railtide/containment/tests/test_guard.py
+++ b/railtide/containment/tests/test_guard.py
@@ -34,8 +34,11 @@
         await fleet.end("i-1", BAD)
         now = trio.current_time()
         head_at = None if head_before_s is None else now - head_before_s
-        with guard.running(BAD, lambda: head_at) as run, guard.running(GOOD, lambda: None) as other:
-            fleet.registries[0].note_end("i-2", "i-2", fleet.breaks_of([BAD], 0.06))
+        with (
+            guard.cancel_scope_for(BAD, lambda: head_at) as run,
+            guard.cancel_scope_for(GOOD, lambda: None) as other,
+        ):
+            fleet.registries[0].note_crash("i-2", "i-2", fleet.breaks_of([BAD], 0.06))
             assert run.cancel_called is stopped
             assert not other.cancel_called
 
@@ -60,7 +63,7 @@
         nursery.start_soon(fleet.end, "i-4", GOOD)
         await trio.sleep(0.001)
         assert all(fleet.refused(GOOD)[:1])
-        fleet.registries[1].note_end("i-4", "i-4", fleet.breaks_of([BAD], 0.06))
+        fleet.registries[1].note_crash("i-4", "i-4", fleet.breaks_of([BAD], 0.06))
         await guard.check(GOOD)
         with pytest.raises(ContentHeld):
             await guard.check(BAD)
--- a/railtide/containment/tests/test_interleavings.py
+++ b/railtide/containment/tests/test_interleavings.py
@@ -95,7 +95,7 @@
 
     def _place(self, router: int, content: str) -> str:
         names = sorted(self.life_by_upstream)
-        strikes = self.registries[router].strikes_by_content(content)
+        strikes = self.registries[router].suspect_crash_counts(content)
         chosen = sorted(preferred_upstreams(content, strikes, names)) if strikes else names
         return chosen[next(self.numbers) % len(chosen)]
 
@@ -119,7 +119,7 @@
                 if run.router == router
             ]
             if breaks:
-                registry.note_end(self._life(upstream), upstream, breaks)
+                registry.note_crash(self._life(upstream), upstream, breaks)
         self.broken += [run.content for run in under_way if run is not cause]
         self.life_by_upstream[upstream] += 1
         self.ends += 1
@@ -143,7 +143,7 @@
     def finish(self, _: int) -> None:
         """Answer soundly all that is under way."""
         for run in self.runs:
-            self.registries[run.router].note_sound(run.content)
+            self.registries[run.router].note_completed(run.content)
         self.runs.clear()
 
     async def restart(self, router: int) -> None:
--- a/railtide/containment/tests/test_observations.py
+++ b/railtide/containment/tests/test_observations.py
@@ -11,7 +11,7 @@
 MARKS = st.builds(
     CrashObservation,
     content=st.sampled_from("ab"),
-    life=st.sampled_from("123"),
+    incarnation=st.sampled_from("123"),
     at=st.just(1.0),
     cleared=st.booleans(),
 )
@@ -22,7 +22,11 @@
     for mark in marks:
         evidence.add(mark)
     contents = {mark.content for mark in evidence.marks()}
-    return {content: evidence.lives(content) for content in contents if evidence.lives(content)}
+    return {
+        content: evidence.incarnations(content)
+        for content in contents
+        if evidence.incarnations(content)
+    }
 
 
 class TestEvidence:
@@ -53,8 +57,8 @@
 
     def test_longest_run_stays_whoever_saw_it(self) -> None:
         runs = [
-            CrashObservation("a", "1", 1.0 + n, ran_s=ran_s)
-            for n, ran_s in enumerate((0.1, 0.3, 0.2))
+            CrashObservation("a", "1", 1.0 + n, elapsed_s=elapsed_s)
+            for n, elapsed_s in enumerate((0.1, 0.3, 0.2))
         ]
         for order in permutations(runs):
             evidence = ObservationSet()
--- a/railtide/containment/tests/test_registry.py
+++ b/railtide/containment/tests/test_registry.py
@@ -51,7 +51,7 @@
 
     async def end(self, life: str, *contents: str, seen_by: int = 0, begun_s: float = 0.06) -> None:
         """Have a router see the end of a life and let all know."""
-        self.registries[seen_by].note_end(life, life, self.breaks_of(contents, begun_s))
+        self.registries[seen_by].note_crash(life, life, self.breaks_of(contents, begun_s))
         await trio.sleep(KNOWN_S)
 
     @staticmethod
@@ -137,7 +137,7 @@
         for number in range(100):
             content = f"{number:032x}"
             assert fleet.registries[0].refusal_of(content) is None
-            fleet.registries[0].note_sound(content)
+            fleet.registries[0].note_completed(content)
         await trio.sleep(KNOWN_S)
         assert fleet.store.topic(TOPIC).end == end
 
@@ -163,12 +163,12 @@
         fleet.store.delay_s = 0.01
         for router in (first, 1 - first):
             breaks = fleet.breaks_of([GOOD], begun_s=(0.4, 0.1)[router])
-            fleet.registries[router].note_end("i-1", "i-1", breaks)
+            fleet.registries[router].note_crash("i-1", "i-1", breaks)
             await trio.sleep(fleet.store.delay_s / 2)
         await trio.sleep(KNOWN_S)
         (record,) = fleet.store.topic(TOPIC).newest_by_key.values()
         mark = mark_of(record)
-        assert (mark.router, round(mark.ran_s, 3)) == ("r0", 0.4)
+        assert (mark.router, round(mark.elapsed_s, 3)) == ("r0", 0.4)
         assert upstream_of(record) == "i-1"
 
     async def test_shorter_run_tells_when_its_router_saw_the_end(
@@ -181,7 +181,7 @@
             life = f"i-{number}"
             for router, begun_s in [(number, 0.4), (3, 0.1)]:
                 breaks = fleet.breaks_of([GOOD], begun_s)
-                fleet.registries[router].note_end(life, life, breaks)
+                fleet.registries[router].note_crash(life, life, breaks)
         await trio.sleep(KNOWN_S)
         assert not any(fleet.refused(GOOD))
 
@@ -191,9 +191,9 @@
         fleet = Fleet(nursery)
         for number in range(2):
             await fleet.end(f"i-{number}", GOOD, seen_by=number)
-        fleet.registries[1].note_sound(GOOD)
+        fleet.registries[1].note_completed(GOOD)
         await trio.sleep(KNOWN_S)
-        assert [r.strikes_by_content(GOOD) for r in fleet.registries] == [{}, {}]
+        assert [r.suspect_crash_counts(GOOD) for r in fleet.registries] == [{}, {}]
         for number in range(2, 4):
             await fleet.end(f"i-{number}", GOOD, seen_by=number % 2)
         assert not any(fleet.refused(GOOD))
@@ -202,9 +202,9 @@
         self, nursery, autojump_clock
     ) -> None:
         fleet = Fleet(nursery)
-        fleet.registries[1].note_sound(GOOD)
+        fleet.registries[1].note_completed(GOOD)
         await fleet.end("i-1", GOOD)
-        assert fleet.registries[0].strikes_by_content(GOOD) == {}
+        assert fleet.registries[0].suspect_crash_counts(GOOD) == {}
 
     async def test_identical_reads_that_others_answer_are_not_marked(
         self, nursery, autojump_clock
@@ -213,7 +213,7 @@
         await trio.sleep(KNOWN_S)
         end = fleet.store.topic(TOPIC).end
         for number in range(5):
-            fleet.registries[0].note_sound(GOOD)
+            fleet.registries[0].note_completed(GOOD)
             await fleet.end(f"i-{number}", GOOD)
         assert not any(fleet.refused(GOOD))
         assert fleet.store.topic(TOPIC).end == end
@@ -224,13 +224,13 @@
         fleet = Fleet(nursery)
         fleet.store.late_appends = 1
         await fleet.end("i-1", GOOD)
-        fleet.registries[0].note_sound(GOOD)
+        fleet.registries[0].note_completed(GOOD)
         await trio.sleep(KNOWN_S)
         fleet.store.do_late()
         await trio.sleep(KNOWN_S)
         later = fleet.start("r9")
         await trio.sleep(KNOWN_S)
-        assert later.strikes_by_content(GOOD) == {}
+        assert later.suspect_crash_counts(GOOD) == {}
 
     async def test_ends_of_a_content_that_is_held_explain_those_beside_it(
         self, nursery, autojump_clock, lines
@@ -238,11 +238,11 @@
         fleet = Fleet(nursery)
         await fleet.end("i-1", GOOD, BAD)
         await fleet.end("i-2", GOOD, BAD)
-        assert fleet.registries[1].strikes_by_content(GOOD) == {GOOD: 2, BAD: 2}
+        assert fleet.registries[1].suspect_crash_counts(GOOD) == {GOOD: 2, BAD: 2}
         await fleet.end("i-3", BAD)
         assert all(fleet.refused(BAD))
         assert not any(fleet.refused(GOOD))
-        assert fleet.registries[1].strikes_by_content(GOOD) == {}
+        assert fleet.registries[1].suspect_crash_counts(GOOD) == {}
 
 
 class TestReasonsOfTheirOwn:
@@ -255,7 +255,7 @@
         now = trio.current_time()
         breaks = [BrokenAttempt(UpstreamAttempt(GOOD, now - 0.2), now)]
         for number in range(4):
-            fleet.registries[number % 2].note_end(f"i-{number}", f"i-{number}", breaks)
+            fleet.registries[number % 2].note_crash(f"i-{number}", f"i-{number}", breaks)
         await trio.sleep(KNOWN_S)
         assert not any(fleet.refused(GOOD))
 
@@ -282,7 +282,7 @@
         for number in range(3):
             await fleet.end(f"i-{number}", GOOD)
         assert all(fleet.refused(GOOD))
-        fleet.registries[1].note_sound(GOOD)
+        fleet.registries[1].note_completed(GOOD)
         await trio.sleep(KNOWN_S)
         assert not any(fleet.refused(GOOD))
 
@@ -321,7 +321,7 @@
         for number in range(3):
             await fleet.end(f"i-{number}", BAD)
         fleet.day_s += HOLD_S
-        fleet.registries[0].note_sound(BAD)
+        fleet.registries[0].note_completed(BAD)
         await trio.sleep(KNOWN_S)
         assert not any(fleet.refused(BAD))
         assert [line["event"] for line in lines].count("content-released") == 2
@@ -335,7 +335,7 @@
         for registry in fleet.registries:
             registry.forget_surplus()
         await until(lambda: not fleet.store.topic(TOPIC).newest_by_key)
-        assert [r.strikes_by_content(GOOD) for r in fleet.registries] == [{}, {}]
+        assert [r.suspect_crash_counts(GOOD) for r in fleet.registries] == [{}, {}]
 
     async def test_new_content_with_each_end_stays_within_the_bound(
         self, nursery, autojump_clock
@@ -365,7 +365,7 @@
         await trio.sleep(KNOWN_S)
         fleet.day_s += KEEP_S + 2 * AHEAD_S
         fleet.registries[0].forget_surplus()
-        assert fleet.registries[0].strikes_by_content(GOOD) == {}
+        assert fleet.registries[0].suspect_crash_counts(GOOD) == {}
 
 
 class TestStoreThatComesBackOlder:
@@ -390,7 +390,7 @@
             fleet = Fleet(nursery, routers=1)
             copy = fleet.store.copy()
             dead = CrashRegistry(fleet.store, "dead", Random(1), Counters(), day_s=lambda: 0.0)
-            dead.note_end("1", "1", fleet.breaks_of([BAD], 0.06))
+            dead.note_crash("1", "1", fleet.breaks_of([BAD], 0.06))
             await fleet.store.append(TOPIC, dict(dead._waiting))
             await trio.sleep(KNOWN_S)
             keys = set(fleet.store.topic(TOPIC).newest_by_key)
@@ -405,13 +405,13 @@
             fleet = Fleet(nursery)
             await fleet.end("1", GOOD)
             copy = fleet.store.copy()
-            fleet.registries[0].note_sound(GOOD)
+            fleet.registries[0].note_completed(GOOD)
             await trio.sleep(KNOWN_S)
             fleet.store.roll_back(copy)
             await trio.sleep(KNOWN_S)
             late = fleet.start("r2")
             await trio.sleep(KNOWN_S)
-            assert late.strikes_by_content(GOOD) == {}
+            assert late.suspect_crash_counts(GOOD) == {}
             marks = fleet.store.topic(TOPIC).newest_by_key.values()
             assert [mark_of(record).cleared for record in marks] == [True]
             nursery.cancel_scope.cancel()
@@ -423,7 +423,7 @@
             copy = fleet.store.copy()
             other = CrashRegistry(fleet.store, "other", Random(1), Counters())
             other.take(list(fleet.store.topic(TOPIC).newest_by_key.values()))
-            other.note_sound(GOOD)
+            other.note_completed(GOOD)
             await fleet.store.append(TOPIC, dict(other._waiting))
             await trio.sleep(KNOWN_S)
             fleet.store.roll_back(copy)
@@ -486,7 +486,7 @@
             return ProbeResult.REFUSED
 
         def on_end(instance: Instance, breaks: list[BrokenAttempt]) -> None:
-            fleet.registries[router].note_end(instance.incarnation, instance.name, breaks)
+            fleet.registries[router].note_crash(instance.incarnation, instance.name, breaks)
 
         return CrashDetector(probe, on_end, fleet.nursery.start_soon)
 
@@ -547,10 +547,10 @@
         for at, router, life, content, sent_at in sorted(lines):
             await trio.sleep_until(began + at)
             run = UpstreamAttempt(content, began + sent_at)
-            fleet.registries[router].note_end(life, life, [BrokenAttempt(run, began + at)])
+            fleet.registries[router].note_crash(life, life, [BrokenAttempt(run, began + at)])
         await trio.sleep(KNOWN_S)
         assert [registry.held for registry in fleet.registries] == [{BAD}] * 2
-        fleet.registries[1].note_sound(OTHER)
+        fleet.registries[1].note_completed(OTHER)
         await trio.sleep(KNOWN_S)
         later = fleet.start("r9")
         await trio.sleep(KNOWN_S)
--- a/railtide/edge/node.py
+++ b/railtide/edge/node.py
@@ -172,7 +172,7 @@
         self._crashes = CrashRegistry(
             store, identity.instance, rng, self.counters, self._is_owner_of
         )
-        self._crashes.on_life_ended = self._pools.eject_life
+        self._crashes.on_crash = self._pools.eject_life
         self._waking = Waking(
             suspensions or Suspensions(),
             [self._configuration_feed.refresh, self._upstream_feed.refresh, self._crashes.refresh],
@@ -400,7 +400,7 @@
     # -- upstreams that end -------------------------------------------------------------------
 
     def _note_end(self, instance: Instance, breaks: list[BrokenAttempt]) -> None:
-        self._crashes.note_end(instance.incarnation, instance.name, breaks)
+        self._crashes.note_crash(instance.incarnation, instance.name, breaks)
 
     def _is_owner_of(self, content: str) -> bool:
         """Return whether this router makes the trials of a content that is held."""
--- a/railtide/requests/execution.py
+++ b/railtide/requests/execution.py
@@ -223,11 +223,13 @@
 
     def _note_answer(self, upstream: Instance, relayed: Relayed) -> None:
         """Tell the guard of a whole answer; only one that is framed proves that it is whole."""
-        sound = relayed.framed and relayed.answer.status == OK_STATUS
-        self._services.guard.note_answer(upstream, self._last_run(), sound)
+        complete = relayed.framed and relayed.answer.status == OK_STATUS
+        self._services.guard.note_answer(upstream, self._last_run(), complete)
 
     def _running(self) -> AbstractContextManager[trio.CancelScope]:
-        return self._services.guard.running(self._call.content, lambda: self._relay.head_at)
+        return self._services.guard.cancel_scope_for(
+            self._call.content, lambda: self._relay.head_at
+        )
 
     def _last_run(self) -> UpstreamAttempt:
         return UpstreamAttempt(self._call.content, self._sent_at, self._relay.head_at)
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -736,7 +736,7 @@
     Mutant(
         "ends-of-a-held-content-count-against-others",
         "containment/blame.py",
-        "[mark for mark in marks_of if mark.life not in explained]",
+        "[mark for mark in marks_of if mark.incarnation not in explained]",
         "marks_of",
         (CONTAINMENT,),
     ),
@@ -785,7 +785,7 @@
     Mutant(
         "mark-of-the-first-router-hides-a-longer-run",
         "containment/observations.py",
-        "return (0 if mark.weak else 1), mark.ran_s",
+        "return (0 if mark.weak else 1), mark.elapsed_s",
         "return (0 if mark.weak else 1), 0.0",
         (CONTAINMENT,),
     ),
@@ -793,7 +793,7 @@
         "only-the-mark-that-counts-tells-the-moment",
         "containment/observations.py",
         "moments[mark.router] = min(mark.at, moments.get(mark.router, mark.at))",
-        "self._moments[mark.life] = {mark.router: mark.at}",
+        "self._moments[mark.incarnation] = {mark.router: mark.at}",
         (CONTAINMENT,),
     ),
     Mutant(
@@ -806,8 +806,8 @@
     Mutant(
         "run-broke-off-when-the-first-beside-it-did",
         "containment/blame.py",
-        "at_by_router = moments[mark.life] | {mark.router: mark.at}",
-        "at_by_router = moments[mark.life]",
+        "at_by_router = moments[mark.incarnation] | {mark.router: mark.at}",
+        "at_by_router = moments[mark.incarnation]",
         (CONTAINMENT,),
     ),
     Mutant(
@@ -841,14 +841,14 @@
     Mutant(
         "long-run-counts-like-a-short-one",
         "containment/registry.py",
-        "weak = begun_s > BEGUN_S or ran_s < ROUND_TRIP_S",
-        "weak = ran_s < ROUND_TRIP_S",
+        "weak = begun_s > BEGUN_S or elapsed_s < ROUND_TRIP_S",
+        "weak = elapsed_s < ROUND_TRIP_S",
         (CONTAINMENT,),
     ),
     Mutant(
         "send-to-one-that-had-ended-counts-in-full",
         "containment/registry.py",
-        "weak = begun_s > BEGUN_S or ran_s < ROUND_TRIP_S",
+        "weak = begun_s > BEGUN_S or elapsed_s < ROUND_TRIP_S",
         "weak = begun_s > BEGUN_S",
         (CONTAINMENT,),
     ),
@@ -1003,7 +1003,7 @@
     Mutant(
         "second-try-does-not-wait-for-the-word-on-its-first",
         "containment/guard.py",
-        "            await self._watch.settled(instance)\n",
+        "            await self._watch.wait_for_probe(instance)\n",
         "",
         (CRASHING,),
     ),
@@ -1073,8 +1073,8 @@
     Mutant(
         "body-that-only-the-close-ends-clears",
         "requests/execution.py",
-        "sound = relayed.framed and relayed.answer.status == OK_STATUS",
-        "sound = relayed.answer.status == OK_STATUS",
+        "complete = relayed.framed and relayed.answer.status == OK_STATUS",
+        "complete = relayed.answer.status == OK_STATUS",
         (CRASHING,),
     ),
     Mutant(
