--- a/railtide/configuration/directory.py
+++ b/railtide/configuration/directory.py
@@ -14,11 +14,11 @@
     resolve_account,
 )
 
-__all__ = ["Directory", "InForce"]
+__all__ = ["Directory", "ActiveObject"]
 
 
 @dataclass(frozen=True)
-class InForce:
+class ActiveObject:
     """A validated object and its version."""
 
     version: int
@@ -30,7 +30,7 @@
 
     def __init__(self) -> None:
         self.invalid = 0
-        self._by_kind_and_name: dict[tuple[str, str], InForce] = {}
+        self._by_kind_and_name: dict[tuple[str, str], ActiveObject] = {}
         self._account_by_key_hash: dict[str, str] = {}
         self._settings_by_account: dict[str, AccountSettings] = {}
 
@@ -47,7 +47,7 @@
         except InvalidObject:
             self.invalid += 1
             return False
-        self._by_kind_and_name[(kind, name)] = InForce(version, checked)
+        self._by_kind_and_name[(kind, name)] = ActiveObject(version, checked)
         if kind == Kind.ACCOUNT:
             self._index_account(name, held.body if held else None, checked)
         elif kind == Kind.TEMPLATE:
--- a/railtide/configuration/routes.py
+++ b/railtide/configuration/routes.py
@@ -6,11 +6,11 @@
 
 from railtide.upstreams.slow_start import SlowStart
 
-__all__ = ["PoolSettings", "Route", "RouteTable", "Share", "choose_pool"]
+__all__ = ["PoolSettings", "Route", "RouteTable", "PoolShare", "choose_pool"]
 
 
 @dataclass(frozen=True)
-class Share:
+class PoolShare:
     """A pool and its part of a route's requests."""
 
     pool: str
@@ -25,7 +25,7 @@
     ----------
     name, host, prefix : str
         The prefix begins and ends with a slash.
-    shares : tuple of Share
+    shares : tuple of PoolShare
         Pools, by weight.
     repeatable : bool
         Whether a request may run more than once.
@@ -46,7 +46,7 @@
     name: str
     host: str
     prefix: str
-    shares: tuple[Share, ...]
+    shares: tuple[PoolShare, ...]
     repeatable: bool
     stream: bool
     resumable: bool
--- a/railtide/configuration/snapshot.py
+++ b/railtide/configuration/snapshot.py
@@ -40,7 +40,13 @@
 
 @dataclass(frozen=True)
 class Snapshot:
-    """One version of the configuration. `keyed` says whether requests need an API key at all."""
+    """One version of the configuration.
+
+    Attributes
+    ----------
+    requires_api_key : bool
+        Whether requests on routes that are not public need an API key.
+    """
 
     version: int
     table: RouteTable
@@ -48,7 +54,7 @@
     account_by_key: Mapping[str, AccountTerms]
     prepaid_by_account: Mapping[str, int]
     limits: RequestLimits | None = None
-    keyed: bool = field(default=False)
+    requires_api_key: bool = field(default=False)
 
 
 def account_by_key(accounts: list[AccountTerms]) -> dict[str, AccountTerms]:
--- a/railtide/configuration/tests/test_routes.py
+++ b/railtide/configuration/tests/test_routes.py
@@ -2,10 +2,12 @@
 
 from random import Random
 
-from railtide.configuration.routes import Route, RouteTable, Share, choose_pool
+from railtide.configuration.routes import PoolShare, Route, RouteTable, choose_pool
 
 
-def route(prefix: str, host: str = "h", shares: tuple[Share, ...] = (Share("p", 1),)) -> Route:
+def route(
+    prefix: str, host: str = "h", shares: tuple[PoolShare, ...] = (PoolShare("p", 1),)
+) -> Route:
     return Route(prefix, host, prefix, shares, True, False, False, 1.0, 0.1, 0, 1, False)
 
 
@@ -24,7 +26,7 @@
 
 class TestChoosePool:
     def test_weights_decide(self) -> None:
-        split = route("/a/", shares=(Share("p", 90), Share("q", 10), Share("none", 0)))
+        split = route("/a/", shares=(PoolShare("p", 90), PoolShare("q", 10), PoolShare("none", 0)))
         rng = Random(1)
         drawn = [choose_pool(split, rng) for _ in range(1000)]
         assert 50 < drawn.count("q") < 150
--- a/railtide/edge/freshness.py
+++ b/railtide/edge/freshness.py
@@ -16,21 +16,28 @@
 from railtide.errors import RailtideError
 from railtide.journal.feed import Feed
 
-__all__ = ["BEHIND_S", "SLOW_ANSWER_S", "SOON_S", "Doubt", "ViewFreshness", "ages_s"]
-
-BEHIND_S = 2.0
+__all__ = [
+    "MAX_BEHIND_S",
+    "READ_OVERDUE_S",
+    "DEFAULT_RETRY_S",
+    "Doubt",
+    "ConfigurationFreshness",
+    "ages_s",
+]
+
+MAX_BEHIND_S = 2.0
 """How long a router may know of a newer configuration and serve by an older one before others are
 used in its place: the shortest time in which users ask for a change to be in force everywhere."""
-SLOW_ANSWER_S = 0.25
+READ_OVERDUE_S = 0.25
 """How long an answer of the store may be under way before it counts as overdue: it takes 4 ms, and
 240 ms when the store is slow."""
-REWRITTEN_S = 2.0
+REWRITE_GRACE_S = 2.0
 """How long after a rise of the store's era what its writers wrote in the lost seconds may still be
 missing, as the pages say of engines' entries after an outage."""
-MOST_REWRITTEN_S = 20.0
+MAX_REWRITE_GRACE_S = 20.0
 """The same where the store shows an older version than the one in force: the longest history on the
 users' sheets. An operator that has not written it again by then does not know of it."""
-SOON_S = 0.4
+DEFAULT_RETRY_S = 0.4
 """When a caller should come back where nothing is known: half of the longest time between two tries
 of a feed that has lost the store, which is how long its return goes unnoticed on average. The
 caller's new connection may also lead to a router that knows."""
@@ -60,7 +67,7 @@
     STORE_OLDER = "store-older"
 
 
-class ViewFreshness:
+class ConfigurationFreshness:
     """How new one router's view of the configuration is, and what it says when it may be old.
 
     Parameters
@@ -108,7 +115,7 @@
 
     def _is_store_older(self) -> bool:
         since = trio.current_time() - self._risen_at
-        return since < (MOST_REWRITTEN_S if self._shows_older else REWRITTEN_S)
+        return since < (MAX_REWRITE_GRACE_S if self._shows_older else REWRITE_GRACE_S)
 
     def is_behind(self) -> bool:
         """Return whether a newer configuration was known of for longer than may be.
@@ -117,7 +124,7 @@
         where it went away within the answer that brought one. One whose other topics are read is
         not away.
         """
-        return self._is_store_heard() and self._known_s() > BEHIND_S
+        return self._is_store_heard() and self._known_s() > MAX_BEHIND_S
 
     def outdated(self, refusal: RailtideError, version: int | None) -> ConfigurationOutdated:
         """Return what a caller is told in place of a refusal by a view that may be old."""
@@ -136,7 +143,7 @@
         self._begin(version)
         self._answers += 1
         left_s = self._feed.freshness.left_s()
-        return SOON_S if left_s is None else min(left_s, self._most_retry_s)
+        return DEFAULT_RETRY_S if left_s is None else min(left_s, self._most_retry_s)
 
     def look(self, version: int | None) -> None:
         """Say when an old view begins to matter to callers, and when it has ended."""
@@ -147,7 +154,7 @@
             self._end(version)
 
     def _is_read_late(self) -> bool:
-        return trio.current_time() - self._feed.freshness.read_at > self._wait_s + SLOW_ANSWER_S
+        return trio.current_time() - self._feed.freshness.read_at > self._wait_s + READ_OVERDUE_S
 
     def _known_s(self) -> float:
         since = self._feed.freshness.behind_since
--- a/railtide/edge/node.py
+++ b/railtide/edge/node.py
@@ -14,15 +14,15 @@
 from railtide.configuration.snapshot import Snapshot
 from railtide.containment.crash_detection import BrokenAttempt, CrashDetector
 from railtide.containment.guard import CrashGuard
-from railtide.containment.registry import TOPIC as MARKS_TOPIC
+from railtide.containment.registry import TOPIC as CRASHES_TOPIC
 from railtide.containment.registry import CrashRegistry
-from railtide.edge.freshness import ViewFreshness, ages_s
+from railtide.edge.freshness import ConfigurationFreshness, ages_s
 from railtide.edge.options import EdgeOptions
 from railtide.edge.peers import RosterPeers
 from railtide.edge.pools import EdgePools
 from railtide.edge.request_rate import RequestRate
 from railtide.edge.sources import Sources
-from railtide.edge.waking import Waking
+from railtide.edge.wake_handler import WakeHandler
 from railtide.errors import RailtideError
 from railtide.journal.feed import Feed, FeedOptions
 from railtide.journal.keyed import KeyedRecord, KeyedStore
@@ -46,7 +46,7 @@
 DRAIN_TICK_S = 0.02
 READY_TICK_S = 0.05
 """Between two looks at whether a start is over."""
-MARKS_WAIT_S = 3.0
+OBSERVATIONS_WAIT_S = 3.0
 """From the start until a router serves without the marks of contents that end upstreams: their
 topic may be away alone, and a router that serves without them may cost one upstream more."""
 RETURN_S = 0.5
@@ -74,10 +74,10 @@
     snapshot : Snapshot or None
         The configuration in force; never replaced by a lower version.
     schedulers_by_pool : dict of str to PoolScheduler
-    take_notice : callable
-        See `EdgePools.take_notice`.
-    until_current : callable
-        See `Waking.until_current`.
+    apply_notice : callable
+        See `EdgePools.apply_notice`.
+    wait_until_current : callable
+        See `WakeHandler.wait_until_current`.
     leaving : bool
         Set by a shutdown: other routers are to be used.
     """
@@ -142,7 +142,7 @@
             lambda lives: self._ends.note_listed(lives),
         )
         self.schedulers_by_pool = self._pools.schedulers_by_pool
-        self.take_notice = self._pools.take_notice
+        self.apply_notice = self._pools.apply_notice
         store.on_rise(self._pools.listed.note_rise)
         store.on_rise(self._pools.drained.note_rise)
         self._configuration_feed = Feed(
@@ -153,7 +153,7 @@
             self._take_configuration,
             self._keep_drains,
         )
-        self._freshness = ViewFreshness(
+        self._freshness = ConfigurationFreshness(
             self._configuration_feed,
             options.configuration_wait_s,
             options.address_ttl_s,
@@ -163,22 +163,24 @@
         self._upstream_feed = Feed(
             store,
             sources.upstream_topic,
-            FeedOptions(wait_s=options.configuration_wait_s, pause_s=options.upstream_pause_s),
+            FeedOptions(
+                wait_s=options.configuration_wait_s, pause_s=options.upstream_read_interval_s
+            ),
             rng,
             self._take_upstreams,
             self._pools.listed.keep_only,
-            self._upstream_pause_s,
+            self._upstream_read_interval_s,
         )
         self._crashes = CrashRegistry(
             store, identity.instance, rng, self.counters, self._is_owner_of
         )
-        self._crashes.on_crash = self._pools.eject_life
-        self._waking = Waking(
+        self._crashes.on_crash = self._pools.eject_incarnation
+        self._waking = WakeHandler(
             suspensions or Suspensions(),
             [self._configuration_feed.refresh, self._upstream_feed.refresh, self._crashes.refresh],
             lambda: self.counters.add("suspensions"),
         )
-        self.until_current = self._waking.until_current
+        self.wait_until_current = self._waking.wait_until_current
         self._ends = CrashDetector(upstreams.probe, self._note_end, self._start_soon)
         services = Services(
             upstreams,
@@ -202,7 +204,7 @@
         """True while callers should be sent here.
 
         A router that is behind still serves what it knows while no other stands in for it; see
-        `check_in_force`.
+        `check_not_superseded`.
         """
         return self.serves and not self._freshness.is_behind()
 
@@ -217,7 +219,9 @@
 
         Without, a router that starts sends what all others hold to one more upstream.
         """
-        return self._crashes.caught_up or trio.current_time() - self._began_at >= MARKS_WAIT_S
+        return (
+            self._crashes.caught_up or trio.current_time() - self._began_at >= OBSERVATIONS_WAIT_S
+        )
 
     @property
     def drained_domains(self) -> frozenset[str]:
@@ -247,10 +251,10 @@
         began = trio.current_time()
         logger.bind(open_calls=self.open_calls).info("leaving")
         self.leaving = True
-        with trio.move_on_after(self.options.leave_accept_s):
+        with trio.move_on_after(self.options.shutdown_accept_s):
             await self.roster.leave()
-        await trio.sleep_until(began + self.options.leave_accept_s)
-        with trio.move_on_at(began + self.options.leave_s):
+        await trio.sleep_until(began + self.options.shutdown_accept_s)
+        with trio.move_on_at(began + self.options.shutdown_timeout_s):
             while self.open_calls:
                 await trio.sleep(DRAIN_TICK_S)
         with trio.move_on_after(RETURN_S):
@@ -260,7 +264,7 @@
     async def _run_spreading(self) -> None:
         """Let budgets be spread over the routers once all that live have written to the roster."""
         while not self.roster.caught_up:
-            await trio.sleep(self.options.settle_s)
+            await trio.sleep(self.options.settle_interval_s)
         await trio.sleep(self.options.roster.dead_after_s)
         self.treasury.spread()
 
@@ -272,7 +276,7 @@
 
     async def _run_settling(self) -> None:
         while True:
-            await trio.sleep(self.options.settle_s)
+            await trio.sleep(self.options.settle_interval_s)
             self._waking.look()
             self._pools.settle()
             self._freshness.look(self._version())
@@ -283,7 +287,7 @@
         """Return whether a refusal by the configuration in force may be final."""
         return self._freshness.is_current()
 
-    def check_in_force(self) -> None:
+    def check_not_superseded(self) -> None:
         """Refuse to serve by a configuration that has been replaced for longer than it may.
 
         Callers with an old list of addresses, or on open connections, still come to a router that
@@ -299,13 +303,13 @@
         if self._freshness.is_behind() and self.roster.is_stood_in_for():
             raise self._freshness.replaced(self._version())
 
-    def told_of(self, refusal: RailtideError) -> RailtideError:
+    def refusal_for_caller(self, refusal: RailtideError) -> RailtideError:
         """Return what a caller is told: a refusal, or that it may rest on an old configuration."""
         if not refusal.rests_on_configuration or self.configuration_is_current():
             return refusal
         return self._freshness.outdated(refusal, self._version())
 
-    def limits_doubt_s(self) -> float | None:
+    def limits_retry_after_s(self) -> float | None:
         """Return when a caller that the limits in force refuse may come back, None for never."""
         if self.configuration_is_current():
             return None
@@ -318,7 +322,7 @@
             self._sources.configuration_topic: self._configuration_feed.freshness.read_at,
             self._sources.upstream_topic: self._upstream_feed.freshness.read_at,
             self.options.roster.topic: self.roster.read_at,
-            MARKS_TOPIC: self._crashes.read_at,
+            CRASHES_TOPIC: self._crashes.read_at,
         }
         return ages_s(read_at_by_topic, self._began_at)
 
@@ -341,7 +345,7 @@
         named = list(self.roster.named())
         self._rng.shuffle(named)
         named.sort(key=lambda entrance: entrance.failure_domain != failure_domain)
-        return named[: self.options.most_addresses]
+        return named[: self.options.max_addresses]
 
     # -- what the store says ------------------------------------------------------------------
 
@@ -416,9 +420,13 @@
         """Return how many routers keep budgets in hand, 0 if this one is not to."""
         return len(self.roster.named()) if self.roster.is_named() else 0
 
-    def _upstream_pause_s(self) -> float:
+    def _upstream_read_interval_s(self) -> float:
         named = self.roster.is_named()
-        return self.options.upstream_pause_s if named else self.options.idle_upstream_pause_s
+        return (
+            self.options.upstream_read_interval_s
+            if named
+            else self.options.idle_upstream_read_interval_s
+        )
 
     def _retries_of(self, pool: str) -> RetryBudget:
         """Return a pool's retry budget, with this router's part of what all may save up.
@@ -428,7 +436,7 @@
         saved = self.options.retry_slack / (self._sharing_routers() or len(self.roster.live()) or 1)
         budget = self._retries_by_pool.get(pool)
         if budget is None:
-            budget = RetryBudget(self.options.retry_share, saved, saved)
+            budget = RetryBudget(self.options.retries_per_request, saved, saved)
             self._retries_by_pool[pool] = budget
         budget.most = saved
         return budget
--- a/railtide/edge/pools.py
+++ b/railtide/edge/pools.py
@@ -116,7 +116,7 @@
 
     # -- what upstreams and other routers say -------------------------------------------------
 
-    def take_notice(self, upstream: Instance, notice: UpstreamNotice) -> None:
+    def apply_notice(self, upstream: Instance, notice: UpstreamNotice) -> None:
         """Take what an answer says of its upstream; a former life says nothing of this one."""
         scheduler = self._scheduler_of_life(upstream)
         if scheduler is None:
@@ -150,7 +150,7 @@
             for scheduler in self.schedulers_by_pool.values():
                 scheduler.notices.take_limit_news(news, heard_at)
 
-    def eject_life(self, life: str) -> None:
+    def eject_incarnation(self, life: str) -> None:
         """Use a life that ended no more, by its digest, whichever router saw its end."""
         for scheduler in self.schedulers_by_pool.values():
             for upstream in scheduler.by_name.values():
--- a/railtide/edge/tests/test_freshness.py
+++ b/railtide/edge/tests/test_freshness.py
@@ -10,7 +10,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from railtide.edge.freshness import BEHIND_S, SLOW_ANSWER_S, SOON_S, ViewFreshness, ages_s
+from railtide.edge.freshness import (
+    DEFAULT_RETRY_S,
+    MAX_BEHIND_S,
+    READ_OVERDUE_S,
+    ConfigurationFreshness,
+    ages_s,
+)
 from railtide.errors import RailtideError
 from railtide.journal.errors import LogUnavailable
 from railtide.journal.feed import Feed, FeedOptions
@@ -48,15 +54,15 @@
         self._fresh = None
 
 
-def made() -> tuple[KnownFeed, ViewFreshness]:
+def made() -> tuple[KnownFeed, ConfigurationFreshness]:
     feed = KnownFeed()
-    return feed, ViewFreshness(feed, READ_WAIT_S, MOST_RETRY_S)
+    return feed, ConfigurationFreshness(feed, READ_WAIT_S, MOST_RETRY_S)
 
 
 class TestCurrent:
     async def test_is_current_as_long_as_an_answer_is_not_overdue(self, autojump_clock) -> None:
         feed, freshness = made()
-        await trio.sleep(READ_WAIT_S + SLOW_ANSWER_S - SLACK_S)
+        await trio.sleep(READ_WAIT_S + READ_OVERDUE_S - SLACK_S)
         assert freshness.is_current()
         await trio.sleep(2 * SLACK_S)
         assert not freshness.is_current()
@@ -78,7 +84,7 @@
     async def test_is_behind_once_newer_was_known_of_for_long(self, autojump_clock) -> None:
         feed, freshness = made()
         feed.freshness.behind_since = trio.current_time()
-        await trio.sleep(BEHIND_S - SLACK_S)
+        await trio.sleep(MAX_BEHIND_S - SLACK_S)
         assert not freshness.is_behind()
         await trio.sleep(2 * SLACK_S)
         assert freshness.is_behind()
@@ -92,7 +98,7 @@
 
 class TestRetryAfter:
     @pytest.mark.parametrize(
-        ("left", "told"), [(None, SOON_S), (0.3, 0.3), (0.05, 0.05), (7.0, MOST_RETRY_S)]
+        ("left", "told"), [(None, DEFAULT_RETRY_S), (0.3, 0.3), (0.05, 0.05), (7.0, MOST_RETRY_S)]
     )
     async def test_is_what_is_left_of_the_transfer(self, left, told, autojump_clock) -> None:
         feed, freshness = made()
@@ -125,7 +131,7 @@
         feed.freshness.behind_since = trio.current_time()
         for _ in range(9):
             freshness.look(1)
-            await trio.sleep(BEHIND_S / 10)
+            await trio.sleep(MAX_BEHIND_S / 10)
         feed.freshness.behind_since = None
         feed.freshness.read_at = trio.current_time()
         freshness.look(2)
@@ -212,7 +218,7 @@
     def take(self, records: list[KeyedRecord]) -> None:
         self.view = {name for name in records[-1].value.decode().split(",") if name != "-"}
 
-    async def ask_on(self, freshness: ViewFreshness) -> None:
+    async def ask_on(self, freshness: ConfigurationFreshness) -> None:
         while True:
             for route in ROUTES:
                 if route in self.view:
@@ -238,7 +244,7 @@
         callers.write({"a"})
         options = FeedOptions(wait_s=READ_WAIT_S)
         feed = Feed(callers.store, "t", options, Random(1), callers.take)
-        freshness = ViewFreshness(feed, READ_WAIT_S, MOST_RETRY_S)
+        freshness = ConfigurationFreshness(feed, READ_WAIT_S, MOST_RETRY_S)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(feed.run)
             nursery.start_soon(callers.ask_on, freshness)
@@ -266,7 +272,7 @@
         """Whatever is written, lost, silent, slow or begun: each is by what was newest lately."""
         callers = played(steps)
         for at, route in callers.refused:
-            since = at - READ_WAIT_S - SLOW_ANSWER_S - SLACK_S
+            since = at - READ_WAIT_S - READ_OVERDUE_S - SLACK_S
             assert not callers.allowed_throughout(route, since, at)
 
     def test_are_made_and_requests_are_served(self) -> None:
--- a/railtide/edge/tests/test_store_away.py
+++ b/railtide/edge/tests/test_store_away.py
@@ -4,7 +4,7 @@
 
 import trio
 
-from railtide.edge.freshness import ViewFreshness
+from railtide.edge.freshness import ConfigurationFreshness
 from railtide.journal.errors import LogUnavailable
 from railtide.journal.feed import Feed, FeedOptions
 from railtide.journal.keyed import KeyedPage
@@ -40,7 +40,7 @@
         """
         store = GoesAway()
         feed = Feed(store, "t", FeedOptions(), Random(1), lambda records: None)
-        freshness = ViewFreshness(feed, 2.0, 1.0)
+        freshness = ConfigurationFreshness(feed, 2.0, 1.0)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(feed.run)
             await trio.sleep(1.0)
--- a/railtide/edge/waking.py
+++ b/railtide/edge/wake_handler.py
@@ -7,14 +7,14 @@
 
 from railtide.clocks import Suspensions
 
-__all__ = ["Waking"]
+__all__ = ["WakeHandler"]
 
-REREAD_S = 0.3
+MAX_REREAD_WAIT_S = 0.3
 """Longest wait of a request, after a suspension, for what is read anew: four reads of a store that
 answers in milliseconds, with a lost opening packet of a connection of some milliseconds."""
 
 
-class Waking:
+class WakeHandler:
     """Notices suspensions and has what was believed before read anew.
 
     Parameters
@@ -46,9 +46,9 @@
         logger.bind(for_s=round(suspended_s, 3)).warning("woken")
         self._on_woken()
         self._rereads = [refresh() for refresh in self._refreshes]
-        self._reread_until = trio.current_time() + REREAD_S
+        self._reread_until = trio.current_time() + MAX_REREAD_WAIT_S
 
-    async def until_current(self) -> None:
+    async def wait_until_current(self) -> None:
         """Wait for what is read anew; a store that is away is not waited for long.
 
         Without, the first requests after a suspension go where routes and upstreams were before.
--- a/railtide/platform/calls.py
+++ b/railtide/platform/calls.py
@@ -78,7 +78,7 @@
 
 
 def _account_of(request: HttpRequest, snapshot: Snapshot, route: Route) -> AccountTerms | None:
-    if route.public or not snapshot.keyed:
+    if route.public or not snapshot.requires_api_key:
         return None
     key = (first_header(request.headers, names.API_KEY) or b"").decode("latin-1")
     account = snapshot.account_by_key.get(key)
--- a/railtide/platform/desired_state.py
+++ b/railtide/platform/desired_state.py
@@ -7,7 +7,7 @@
 from msgspec import UNSET, Meta, UnsetType
 
 from railtide.configuration.errors import InvalidObject
-from railtide.configuration.routes import PoolSettings, Route, RouteTable, Share
+from railtide.configuration.routes import PoolSettings, PoolShare, Route, RouteTable
 from railtide.configuration.snapshot import (
     AccountTerms,
     RequestLimits,
@@ -193,7 +193,7 @@
         account_by_key=account_by_key(accounts),
         prepaid_by_account=prepaid_by_account(accounts),
         limits=_limits(state.limits) if state.limits else None,
-        keyed=state.tenants is not None,
+        requires_api_key=state.tenants is not None,
     )
 
 
@@ -207,7 +207,9 @@
 
 
 def _route(route: _Route) -> Route:
-    shares = tuple(Share(s.service, s.weight) for s in route.split) or (Share(route.service, 1.0),)
+    shares = tuple(PoolShare(s.service, s.weight) for s in route.split) or (
+        PoolShare(route.service, 1.0),
+    )
     stream = route.kind == STREAMING
     return Route(
         name=route.name,
--- a/railtide/platform/ingress.py
+++ b/railtide/platform/ingress.py
@@ -92,14 +92,14 @@
     async def _handle(self, request: HttpRequest, responder: Responder, trace: "_Trace") -> None:
         began = trio.current_time()
         try:
-            await self._node.until_current()
+            await self._node.wait_until_current()
             call = self._decode(request, trace)
             trace.call = call
             trace.sink = sink = _Sink(responder, call.stream)
             await self._node.serve(call, sink)
             trace.status, trace.code = sink.status, "done"
         except RailtideError as refusal:
-            err = self._node.told_of(refusal)
+            err = self._node.refusal_for_caller(refusal)
             trace.code, trace.detail = err.code, err.detail
             trace.status = await self._refuse(err, responder, trace)
         except BaseException as err:
@@ -122,7 +122,7 @@
         if self.refusing:
             raise Draining("this router is leaving; use another address", retry_after=0.0)
         trace.version = snapshot.version
-        self._node.check_in_force()
+        self._node.check_not_superseded()
         return call_of(request, snapshot, self._rng, trio.current_time())
 
     async def _refuse(self, err: RailtideError, responder: Responder, trace: "_Trace") -> int:
--- a/railtide/platform/program.py
+++ b/railtide/platform/program.py
@@ -112,8 +112,8 @@
     options = _options(boot, settings)
     clocks = kernel_clocks()
     node = EdgeNode(identity, store, PlatformSources(), upstreams, options, rng, clocks)
-    upstreams.on_notice = node.take_notice
-    limits = ConnectionLimits(doubt_s=node.limits_doubt_s)
+    upstreams.on_notice = node.apply_notice
+    limits = ConnectionLimits(doubt_s=node.limits_retry_after_s)
     observe("store_era", "1", lambda: float(NO_ERA if store.era is None else store.era))
     observe_each("read_age", "s", "topic", node.read_ages_s)
     node.on_snapshot = partial(_apply_limits, limits)
@@ -144,8 +144,8 @@
             most_share=settings.budget_most_share,
             spread_share=settings.budget_spread_share,
         ),
-        leave_s=max(0.0, boot.grace_s - LEAVE_MARGIN_S),
-        retry_share=boot.retry_ratio * RETRY_PART,
+        shutdown_timeout_s=max(0.0, boot.grace_s - LEAVE_MARGIN_S),
+        retries_per_request=boot.retry_ratio * RETRY_PART,
         retry_slack=boot.retry_slack * RETRY_PART,
         capacity=_capacity(boot),
     )
@@ -163,7 +163,7 @@
     calls.closing = True
     async with trio.open_nursery() as nursery:
         nursery.start_soon(node.drain)
-        await trio.sleep(node.options.leave_accept_s)
+        await trio.sleep(node.options.shutdown_accept_s)
         ingress.refusing = True
     calls.close_idle()
     await trio.sleep(ANSWER_LAST_S)
--- a/railtide/platform/tests/router_fleet.py
+++ b/railtide/platform/tests/router_fleet.py
@@ -72,7 +72,7 @@
             EdgeOptions(),
             Random(number),
         )
-        upstreams.on_notice = node.take_notice
+        upstreams.on_notice = node.apply_notice
         self.nodes.append(node)
         self.nursery.start_soon(node.run)
         self.ports.append(await serve(self.nursery, Ingress(node, Random(number)).handle))
--- a/railtide/platform/tests/test_crashing_requests.py
+++ b/railtide/platform/tests/test_crashing_requests.py
@@ -88,7 +88,7 @@
             EdgeOptions(),
             Random(number),
         )
-        upstreams.on_notice = node.take_notice
+        upstreams.on_notice = node.apply_notice
         self.nodes.append(node)
         self.scopes.append(trio.CancelScope())
         self.nursery.start_soon(self._run, node, self.scopes[-1])
--- a/railtide/platform/tests/test_foreign_records.py
+++ b/railtide/platform/tests/test_foreign_records.py
@@ -284,7 +284,7 @@
             await settle(w)
             by_name = w.node.schedulers_by_pool["s"].by_name
             told = UpstreamNotice(LoadReport(8, 90, False, trio.current_time()))
-            w.node.take_notice(former.instance, told)
+            w.node.apply_notice(former.instance, told)
             assert by_name["e1"].report is None
             assert (by_name["e1"].failures, by_name["e1"].open_requests) == (0, 0)
             assert await ask(w) == 200
--- a/railtide/platform/tests/test_outdated_view.py
+++ b/railtide/platform/tests/test_outdated_view.py
@@ -13,7 +13,7 @@
 
 from railtide.clocks import Suspensions
 from railtide.edge import freshness
-from railtide.edge.waking import REREAD_S
+from railtide.edge.wake_handler import MAX_REREAD_WAIT_S
 from railtide.http.client import Exchange
 from railtide.http.messages import first_header
 from railtide.journal.keyed import KeyedPage
@@ -129,7 +129,7 @@
     async def test_is_current_through_a_wait_without_news(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        monkeypatch.setattr(freshness, "SLOW_ANSWER_S", 1.0)  # a busy machine answers late
+        monkeypatch.setattr(freshness, "READ_OVERDUE_S", 1.0)  # a busy machine answers late
         async with world() as w:
             for _ in range(45):
                 await trio.sleep(0.1)
@@ -185,7 +185,7 @@
     async def test_silent_one_is_suspected_as_soon_as_an_answer_is_due(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        monkeypatch.setattr(freshness, "SLOW_ANSWER_S", 0.1)
+        monkeypatch.setattr(freshness, "READ_OVERDUE_S", 0.1)
         async with world() as w:
             await w.add_engine("e")
             w.store.delay_s = 60.0
@@ -212,7 +212,7 @@
     async def test_it_shows_in_readiness_and_lines_once_it_takes_too_long(
         self, monkeypatch: pytest.MonkeyPatch, lines: list[dict[str, object]]
     ) -> None:
-        monkeypatch.setattr(freshness, "BEHIND_S", 0.4)
+        monkeypatch.setattr(freshness, "MAX_BEHIND_S", 0.4)
         async with world(store=ReluctantStore()) as w:
             await keep_back(w, with_new_route())
             assert w.node.ready
@@ -232,7 +232,7 @@
     async def test_it_shows_in_the_roster_and_the_router_is_still_named(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        monkeypatch.setattr(freshness, "BEHIND_S", 0.4)
+        monkeypatch.setattr(freshness, "MAX_BEHIND_S", 0.4)
         async with world(store=ReluctantStore()) as w:
             await until(lambda: w.node.addresses("z"))
             await keep_back(w, with_new_route())
@@ -245,7 +245,7 @@
     async def test_store_that_is_merely_away_makes_no_router_unready(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        monkeypatch.setattr(freshness, "BEHIND_S", 0.2)
+        monkeypatch.setattr(freshness, "MAX_BEHIND_S", 0.2)
         async with world() as w:
             await lose_store(w)
             await trio.sleep(1.0)
@@ -308,14 +308,14 @@
             await until(lambda: events(lines, "configuration-current"))
         (began,) = events(lines, "configuration-behind")
         assert (began["version"], began["reason"]) == (1, "newer-known")
-        assert began["known_s"] >= freshness.BEHIND_S and 0 < began["left_s"] < self.TRANSFER_S
+        assert began["known_s"] >= freshness.MAX_BEHIND_S and 0 < began["left_s"] < self.TRANSFER_S
         (ended,) = events(lines, "configuration-current")
         assert ended["version"] == 2 and self.TRANSFER_S <= ended["for_s"] < 2 * WAIT_S
 
     async def test_callers_are_named_routers_that_have_it_until_all_have(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        monkeypatch.setattr(freshness, "BEHIND_S", 0.5)
+        monkeypatch.setattr(freshness, "MAX_BEHIND_S", 0.5)
         store = MemoryStore()
         link = NarrowLink(LINK_BYTES_PER_S)
         async with AsyncExitStack() as stack:
@@ -355,7 +355,7 @@
         async with world(suspensions=machine.suspensions) as w:
             await w.add_engine("e")
             write_unheard(w, CONFIGURATION, "config", with_new_route())
-            w.store.delay_s = 2 * REREAD_S
+            w.store.delay_s = 2 * MAX_REREAD_WAIT_S
             machine.suspended_s = SUSPENDED_S
             await assert_outdated(await w.ask(path))
             await until(w.node.configuration_is_current)
@@ -405,7 +405,7 @@
     async def test_router_that_others_stand_in_for_runs_nothing_by_it(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        monkeypatch.setattr(freshness, "BEHIND_S", 0.5)
+        monkeypatch.setattr(freshness, "MAX_BEHIND_S", 0.5)
         store = MemoryStore()
         link = NarrowLink(LINK_BYTES_PER_S)
         async with AsyncExitStack() as stack:
@@ -433,7 +433,7 @@
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         """Nobody has the newer one: to refuse would end all service until it has come."""
-        monkeypatch.setattr(freshness, "BEHIND_S", 0.5)
+        monkeypatch.setattr(freshness, "MAX_BEHIND_S", 0.5)
         store = MemoryStore()
         async with AsyncExitStack() as stack:
             routers = [
@@ -455,7 +455,7 @@
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         """One current router alone is fewer than callers are sent to."""
-        monkeypatch.setattr(freshness, "BEHIND_S", 0.5)
+        monkeypatch.setattr(freshness, "MAX_BEHIND_S", 0.5)
         store = MemoryStore()
         link = NarrowLink(LINK_BYTES_PER_S)
         async with AsyncExitStack() as stack:
--- a/railtide/platform/tests/test_rollback.py
+++ b/railtide/platform/tests/test_rollback.py
@@ -2,7 +2,7 @@
 
 import trio
 
-from railtide.edge.freshness import REWRITTEN_S
+from railtide.edge.freshness import REWRITE_GRACE_S
 from railtide.membership.instances import InstanceState
 from railtide.membership.upstream_list import RETURN_GRACE_S
 from railtide.platform.tests.test_outdated_view import assert_outdated, until
@@ -80,7 +80,7 @@
             await assert_outdated(await w.ask("/nowhere/x"))
             await assert_outdated(await w.ask("/safe/x", NEW_KEY))
             assert (await w.ask("/safe/x")).status == 200
-            await trio.sleep(REWRITTEN_S)
+            await trio.sleep(REWRITE_GRACE_S)
             assert (await w.ask("/nowhere/x")).status == 404
 
     async def test_none_is_while_the_store_shows_a_replaced_version(self) -> None:
@@ -90,7 +90,7 @@
             w.store.put(CONFIGURATION, "config", desired_state(2))
             await until(lambda: w.node.snapshot.version == 2)
             w.store.roll_back(copy)
-            await trio.sleep(REWRITTEN_S + SHOWN_S)
+            await trio.sleep(REWRITE_GRACE_S + SHOWN_S)
             await assert_outdated(await w.ask("/nowhere/x"))
             assert w.node.ready
             w.store.put(CONFIGURATION, "config", desired_state(2))
--- a/railtide/platform/tests/test_waking.py
+++ b/railtide/platform/tests/test_waking.py
@@ -10,7 +10,7 @@
 
 from railtide.clocks import Suspensions
 from railtide.containment.registry import CrashRegistry
-from railtide.edge.node import MARKS_WAIT_S
+from railtide.edge.node import OBSERVATIONS_WAIT_S
 from railtide.platform.tests.test_whole_path import World, desired_state, world
 
 GONE_ROUTES = {"version": 2, "routes": [], "services": [{"name": "s"}], "tenants": []}
@@ -79,6 +79,6 @@
         monkeypatch.setattr(CrashRegistry, "caught_up", False)
         began = trio.current_time()
         async with world() as w:
-            assert trio.current_time() - began >= MARKS_WAIT_S
+            assert trio.current_time() - began >= OBSERVATIONS_WAIT_S
             await w.add_engine("e")
             assert (await w.ask("/safe/x")).status == 200
--- a/railtide/platform/tests/test_whole_path.py
+++ b/railtide/platform/tests/test_whole_path.py
@@ -142,7 +142,7 @@
             Random(1),
             suspensions=suspensions,
         )
-        upstreams.on_notice = node.take_notice
+        upstreams.on_notice = node.apply_notice
         nursery.start_soon(node.run)
         port = await serve(nursery, Ingress(node, Random(1)).handle)
         with trio.fail_after(5):
@@ -405,9 +405,9 @@
                     await trio.sleep(0.01)
             assert 0 <= ready[0]["since_start_s"] < 5
             w.node.leaving = True
-            await trio.sleep(3 * w.node.options.settle_s)
+            await trio.sleep(3 * w.node.options.settle_interval_s)
             w.node.leaving = False
-            await trio.sleep(3 * w.node.options.settle_s)
+            await trio.sleep(3 * w.node.options.settle_interval_s)
         assert [line["event"] for line in lines].count("ready") == 1
 
     async def test_request_line_says_when_its_caller_may_come_back(
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -1121,7 +1121,7 @@
     ),
     Mutant(
         "nothing-is-read-again-on-waking",
-        "edge/waking.py",
+        "edge/wake_handler.py",
         "        self._rereads = [refresh() for refresh in self._refreshes]\n",
         "",
         (f"{PLATFORM}/test_waking.py",),
@@ -1386,14 +1386,14 @@
     Mutant(
         "store-that-is-away-makes-routers-unready",
         "edge/freshness.py",
-        "return self._is_store_heard() and self._known_s() > BEHIND_S",
-        "return trio.current_time() - self._feed.freshness.read_at > BEHIND_S",
+        "return self._is_store_heard() and self._known_s() > MAX_BEHIND_S",
+        "return trio.current_time() - self._feed.freshness.read_at > MAX_BEHIND_S",
         (EDGE,),
     ),
     Mutant(
         "newer-known-for-a-moment-makes-routers-unready",
         "edge/freshness.py",
-        "return self._is_store_heard() and self._known_s() > BEHIND_S",
+        "return self._is_store_heard() and self._known_s() > MAX_BEHIND_S",
         "return self._known_s() > 0",
         (EDGE,),
     ),
@@ -1421,8 +1421,8 @@
     Mutant(
         "retry-after-knows-no-transfer",
         "edge/freshness.py",
-        "SOON_S if left_s is None else min(left_s, self._most_retry_s)",
-        "SOON_S",
+        "DEFAULT_RETRY_S if left_s is None else min(left_s, self._most_retry_s)",
+        "DEFAULT_RETRY_S",
         (EDGE,),
     ),
     Mutant(
@@ -1498,7 +1498,7 @@
     Mutant(
         "limits-are-never-doubted",
         "platform/program.py",
-        "ConnectionLimits(doubt_s=node.limits_doubt_s)",
+        "ConnectionLimits(doubt_s=node.limits_retry_after_s)",
         "ConnectionLimits()",
         ("tests/test_edge_process.py",),
     ),
@@ -1554,8 +1554,8 @@
     Mutant(
         "store-that-went-away-within-an-answer-makes-routers-unready",
         "edge/freshness.py",
-        "return self._is_store_heard() and self._known_s() > BEHIND_S",
-        "return self._known_s() > BEHIND_S",
+        "return self._is_store_heard() and self._known_s() > MAX_BEHIND_S",
+        "return self._known_s() > MAX_BEHIND_S",
         (EDGE,),
     ),
     Mutant(
@@ -1687,7 +1687,7 @@
     Mutant(
         "replaced-configuration-is-served-though-others-stand-in",
         "platform/ingress.py",
-        "        self._node.check_in_force()\n",
+        "        self._node.check_not_superseded()\n",
         "",
         (f"{OUTDATED}::TestReplacedState",),
     ),
@@ -2232,8 +2232,8 @@
     Mutant(
         "version-that-the-store-shows-as-replaced-is-current",
         "edge/freshness.py",
-        "MOST_REWRITTEN_S if self._shows_older else REWRITTEN_S",
-        "REWRITTEN_S",
+        "MAX_REWRITE_GRACE_S if self._shows_older else REWRITE_GRACE_S",
+        "REWRITE_GRACE_S",
         (ROLLBACK,),
     ),
     Mutant(
