--- a/railtide/containment/__init__.py
+++ b/railtide/containment/__init__.py
@@ -1,6 +1,8 @@
-"""Contents that end the upstreams that run them: noticed, told to all routers, and contained.
+"""Detects and contains requests that crash the upstreams that run them.
 
-Reading order: `content` (what is the same request), `ends` (what is an upstream's end), `evidence`
-(what was seen, as a union), `blame` (whose fault it is), `placement` (where a suspect runs),
-`registry` (how the fleet knows), `guard` (what requests ask).
+A content is the identity of a request: a digest of its client account, path and body. Reading
+order: `content` (which requests are the same), `crash_detection` (when an upstream has crashed),
+`observations` (what routers saw, as a mergeable set), `blame` (which contents cause crashes),
+`placement` (where suspects run), `registry` (how the fleet shares what it knows) and `guard` (what
+the request path calls).
 """
--- a/railtide/containment/admin.py
+++ b/railtide/containment/admin.py
@@ -1,4 +1,4 @@
-"""What operators see of contents that end upstreams, and how one is let go by hand."""
+"""The operators' view of contents that crash upstreams, and how a hold is lifted."""
 
 from dataclasses import replace
 
@@ -8,7 +8,7 @@
 from railtide.containment.blame import assign_blame
 from railtide.containment.holding import held_until
 from railtide.containment.observations import CrashObservation, ObservationSet
-from railtide.containment.records import mark_of, record_key, record_value, upstream_of
+from railtide.containment.records import observation_of, record_key, record_value, upstream_of
 from railtide.containment.registry import TOPIC
 from railtide.journal.keyed import KeyedRecord, KeyedStore
 
@@ -16,19 +16,19 @@
 
 
 class ContentState(msgspec.Struct, frozen=True):
-    """One content and what speaks against it.
+    """One content and the evidence against it.
 
     Attributes
     ----------
     content : str
-        The digest in a router's lines.
+        The digest, as in the routers' logs.
     held : bool
     ends : int
-        Upstreams that ended under it and that no other content explains.
+        Crashes of upstreams under it that no other content explains.
     upstreams, routers : list of str
-        Those that ended, and who saw it.
+        The upstreams that crashed, and the routers that saw it.
     tried_again_in_s : float
-        Until a trial is made; 0 for one that is not held.
+        Until its next trial; 0 for a content that is not held.
     """
 
     content: str
@@ -54,64 +54,71 @@
         The store did not answer.
     """
     page = await store.newest(TOPIC)
-    record_by_mark = _record_by_mark(page.records)
-    evidence = ObservationSet()
-    for mark in record_by_mark:
-        evidence.add(mark)
-    blame = assign_blame(evidence.marks(), evidence.moments)
-    ends = {content: len(lives) for content, lives in blame.held.items()}
+    record_by_observation = _record_by_observation(page.records)
+    observations = ObservationSet()
+    for observation in record_by_observation:
+        observations.add(observation)
+    blame = assign_blame(observations.all(), observations.detection_times)
+    held_counts = {content: len(incarnations) for content, incarnations in blame.held.items()}
     states = [
-        _state(content, count, evidence.marks_of(content), record_by_mark, content in ends, now)
-        for content, count in (ends | blame.crash_count_by_content).items()
+        _state(
+            content,
+            count,
+            observations.of_content(content),
+            record_by_observation,
+            content in held_counts,
+            now,
+        )
+        for content, count in (held_counts | blame.crash_count_by_content).items()
     ]
     return sorted(states, key=lambda state: (not state.held, -state.ends, state.content))
 
 
-def _record_by_mark(records: list[KeyedRecord]) -> dict[CrashObservation, KeyedRecord]:
+def _record_by_observation(records: list[KeyedRecord]) -> dict[CrashObservation, KeyedRecord]:
     found: dict[CrashObservation, KeyedRecord] = {}
     for record in records:
         try:
-            found[mark_of(record)] = record
+            found[observation_of(record)] = record
         except InvalidObject:
-            continue  # another writer's, which no router takes for a mark
+            continue  # not written by a router; routers ignore it too
     return found
 
 
 def _state(
     content: str,
     ends: int,
-    marks: list[CrashObservation],
-    record_by_mark: dict[CrashObservation, KeyedRecord],
+    observations: list[CrashObservation],
+    record_by_observation: dict[CrashObservation, KeyedRecord],
     held: bool,
     now: float,
 ) -> ContentState:
-    left_s = held_until(marks, now) - now if held else 0.0
+    left_s = held_until(observations, now) - now if held else 0.0
     return ContentState(
         content,
         held,
         ends,
-        sorted({upstream_of(record_by_mark[mark]) for mark in marks}),
-        sorted({mark.router for mark in marks}),
+        sorted({upstream_of(record_by_observation[seen]) for seen in observations}),
+        sorted({seen.router for seen in observations}),
         round(max(0.0, left_s), 1),
     )
 
 
 async def lift(store: KeyedStore, content: str, operator: str) -> int:
-    """Clear a content of all its marks at all routers, and return how many there were.
+    """Clear all observations of a content at all routers, and return how many there were.
 
     Raises
     ------
     LogUnavailable
-        The store did not answer; the marks may or may not be cleared.
+        The store did not answer; the observations may or may not be cleared.
     """
     page = await store.newest(TOPIC)
-    marks = [
-        mark
-        for mark in _record_by_mark(page.records)
-        if mark.content == content and not mark.cleared
+    observations = [
+        seen
+        for seen in _record_by_observation(page.records)
+        if seen.content == content and not seen.cleared
     ]
-    cleared = [replace(mark, cleared=True, router=operator) for mark in marks]
+    cleared = [replace(seen, cleared=True, router=operator) for seen in observations]
     if cleared:
-        values = {record_key(mark): record_value(mark, "") for mark in cleared}
+        values = {record_key(seen): record_value(seen, "") for seen in cleared}
         await store.append(TOPIC, values)
     return len(cleared)
--- a/railtide/containment/blame.py
+++ b/railtide/containment/blame.py
@@ -1,16 +1,18 @@
-"""Which contents end upstreams, told from those that were merely beside them. Pure.
-
-A content that ends each upstream that begins it is in all the ends that it causes, and each other
-one that was under way then is in some of them. So the one that is in most is blamed first, and the
-ends that it explains count against nobody else. With the tens of requests of a batch beside each
-end, counting alone would hold the innocent: of 40 contents that were at two of the three ends of a
-bad one, none is held (`TestBlame`).
-
-Upstreams also end for reasons of their own, several at once or again and again. A content that is
-read by many is at several of them at that moment, and a long stream is at one after the other. The
-former is one end; the latter, which had been begun long before, counts for less, and so does a run
-that was there before an earlier end. Without, a day on
-which two in five engines ended every two seconds held three contents that ended none; with it none.
+"""Attributes upstream crashes to the contents that caused them. No I/O.
+
+A content that crashes every upstream that starts it is present at all the crashes that it causes,
+and any other content that was in flight is present at some of them. The content that is present at
+most crashes is therefore blamed first, and the crashes that it explains count against no other
+content. Counting alone isn't enough: with tens of requests batched beside each crash it would hold
+innocent contents. Of 40 contents present at two of the three crashes of a bad one, none is held
+(`TestBlame`).
+
+Upstreams also crash for reasons of their own, several at once or repeatedly. A content that many
+callers read is present at several simultaneous crashes, and a long stream at one crash after the
+other. Simultaneous crashes count as one incident. A crash weighs less where the upstream had begun
+the content long before, and where the attempt was sent before an earlier crash. Without these two
+rules, a day on which two in five engines crashed every two seconds held three contents that had
+crashed none; with them, none was held.
 """
 
 from collections.abc import Iterable, Mapping, Sequence, Set
@@ -19,105 +21,116 @@
 from railtide.containment.observations import CrashObservation, DetectionTimes
 
 __all__ = [
-    "HOLD_WEIGHT",
-    "STRONG",
+    "HOLD_THRESHOLD",
+    "STRONG_WEIGHT",
     "Blame",
     "assign_blame",
-    "ends_of",
-    "moments_of",
-    "weight_of",
+    "detection_times_of",
+    "evidence_weight",
+    "incidents_of",
 ]
 
-STRONG = 5
-WEAK = 3
-HOLD_WEIGHT = 3 * STRONG
-"""Three upstreams that ended soon after the begin of a content hold it: as many as users allow,
-and as few as tell it from a request that was beside it twice. Of weak marks it takes five; three
-more than the third are within what users allow."""
-LEAST_MARKS = HOLD_WEIGHT // STRONG
-SAME_MOMENT_S = 0.03
-"""Ends no further apart, by the clock of one router that saw both, are one if the content was under
-way at both: processes that are killed together are noticed within milliseconds of each other. The
-clocks of two routers may be further apart than a bad content's ends."""
+STRONG_WEIGHT = 5
+WEAK_WEIGHT = 3
+HOLD_THRESHOLD = 3 * STRONG_WEIGHT
+"""Three crashes soon after an upstream started a content hold it: as many as users allow, and the
+fewest that distinguish it from a request that was beside it twice. It takes five weak ones; users
+allow three more crashes after the third."""
+MIN_OBSERVATIONS = HOLD_THRESHOLD // STRONG_WEIGHT
+SIMULTANEOUS_S = 0.03
+"""Crashes no further apart, by the clock of one router that saw both, are one incident if the
+content was in flight at both: the ends of processes that are killed together are noticed within
+milliseconds of each other. The clocks of two routers may differ by more than the time between the
+crashes that a bad content causes."""
 
-OVERLAP_S = 0.0005
-"""For which two runs were there together at least; times are kept to the microsecond."""
+MIN_OVERLAP_S = 0.0005
+"""Least time for which two attempts were in flight together; times are kept to the microsecond."""
 
 
 @dataclass(frozen=True)
 class Blame:
-    """Whose fault the ends of upstreams are.
+    """Which contents are blamed for upstream crashes.
 
     Attributes
     ----------
     held : dict of str to frozenset of str
-        Contents that are not to be sent on, and the lives that ended under them.
+        Contents that must not be sent to any upstream, and the incarnations that each crashed.
     crash_count_by_content : dict of str to int
-        For each other content, the ends that no held one explains.
+        For each other content, the number of incidents that no held content explains.
     """
 
     held: dict[str, frozenset[str]] = field(default_factory=dict)
     crash_count_by_content: dict[str, int] = field(default_factory=dict)
 
 
-def assign_blame(marks: Iterable[CrashObservation], moments: DetectionTimes | None = None) -> Blame:
-    """Return who is to blame by all marks; those that are cleared tell moments only.
+def assign_blame(
+    observations: Iterable[CrashObservation], detection_times: DetectionTimes | None = None
+) -> Blame:
+    """Return which contents are to blame, given all observations.
+
+    Cleared observations only contribute their detection times.
 
     Parameters
     ----------
-    marks : iterable of Mark
-        One for each content and life.
-    moments : Moments, optional
-        By the marks of all routers; else by these alone.
+    observations : iterable of CrashObservation
+        One for each pair of content and incarnation.
+    detection_times : DetectionTimes, optional
+        From the observations of all routers; derived from `observations` if not given.
 
     Notes
     -----
-    Two contents of three ends that share two or all of them can't be told apart. Neither is held
-    then; they are placed apart, and the next end tells which one it is. With more than three all of
-    them are held.
+    Two contents with three crashes each that share two or all of them can't be told apart. Neither
+    is held then; they are placed on different upstreams, and the next crash decides. With more than
+    three crashes all of them are held.
 
     Examples
     --------
-    >>> def at(content, *lives):
-    ...     return [CrashObservation(content, str(life), at=10.0 * life) for life in lives]
+    >>> def at(content, *numbers):
+    ...     return [CrashObservation(content, str(n), at=10.0 * n) for n in numbers]
     >>> blame = assign_blame([*at("bad", 1, 2, 3), *at("beside", 2, 3), *at("once", 9)])
     >>> sorted(blame.held), blame.crash_count_by_content
     (['bad'], {'once': 1})
     >>> assign_blame([*at("one", 1, 2, 3), *at("other", 1, 2, 3)]).held
     {}
     """
-    every = list(marks)
-    moments = moments_of(every) if moments is None else moments
+    every = list(observations)
+    detection_times = detection_times_of(every) if detection_times is None else detection_times
     left: dict[str, list[CrashObservation]] = {}
-    for mark in every:
-        if not mark.cleared:
-            left.setdefault(mark.content, []).append(mark)
+    for observation in every:
+        if not observation.cleared:
+            left.setdefault(observation.content, []).append(observation)
     held: dict[str, frozenset[str]] = {}
-    while sure := _surely_worst(left, moments):
-        for content in sure:
-            held[content] = _lives(left.pop(content))
-        explained = frozenset().union(*(held[content] for content in sure))
+    while culprits := _clear_culprits(left, detection_times):
+        for content in culprits:
+            held[content] = _incarnations(left.pop(content))
+        explained = frozenset().union(*(held[content] for content in culprits))
         left = {
-            content: [mark for mark in marks_of if mark.incarnation not in explained]
-            for content, marks_of in left.items()
+            content: [seen for seen in of_content if seen.incarnation not in explained]
+            for content, of_content in left.items()
         }
-    strikes = {content: len(ends_of(found, moments)) for content, found in left.items() if found}
-    return Blame(held, strikes)
+    crash_counts = {
+        content: len(incidents_of(found, detection_times))
+        for content, found in left.items()
+        if found
+    }
+    return Blame(held, crash_counts)
 
 
-def moments_of(marks: Iterable[CrashObservation]) -> DetectionTimes:
-    """Return when which router saw the end of each life."""
-    moments: dict[str, dict[str, float]] = {}
-    for mark in marks:
-        seen = moments.setdefault(mark.incarnation, {})
-        seen[mark.router] = min(mark.at, seen.get(mark.router, mark.at))
-    return moments
+def detection_times_of(observations: Iterable[CrashObservation]) -> DetectionTimes:
+    """Return when each router detected the crash of each incarnation."""
+    detection_times: dict[str, dict[str, float]] = {}
+    for observation in observations:
+        seen = detection_times.setdefault(observation.incarnation, {})
+        seen[observation.router] = min(observation.at, seen.get(observation.router, observation.at))
+    return detection_times
 
 
-def ends_of(
-    marks: Sequence[CrashObservation], moments: DetectionTimes
+def incidents_of(
+    observations: Sequence[CrashObservation], detection_times: DetectionTimes
 ) -> list[list[CrashObservation]]:
-    """Return the marks of one content by the ends that they stand for, in the order of time.
+    """Group one content's observations into incidents, in the order of time.
+
+    An incident is a crash, or several simultaneous ones that count as one.
 
     Examples
     --------
@@ -125,99 +138,116 @@
     ...     return CrashObservation("c", incarnation, at, elapsed_s=elapsed_s)
     >>> together = [at("1", 10.0, 0.5), at("2", 10.01, 0.4)]
     >>> in_turn = [at("1", 10.0, 0.5), at("2", 10.02, 0.02)]
-    >>> [len(ends_of(marks, moments_of(marks))) for marks in (together, in_turn)]
+    >>> [len(incidents_of(seen, detection_times_of(seen))) for seen in (together, in_turn)]
     [1, 2]
     """
-    ends: list[list[CrashObservation]] = []
-    for mark in sorted(marks, key=lambda one: one.at):
-        for end in ends:
-            if any(_is_same_end(mark, other, moments) for other in end):
-                end.append(mark)
+    incidents: list[list[CrashObservation]] = []
+    for observation in sorted(observations, key=lambda one: one.at):
+        for incident in incidents:
+            if any(_is_same_incident(observation, other, detection_times) for other in incident):
+                incident.append(observation)
                 break
         else:
-            ends.append([mark])
-    return ends
+            incidents.append([observation])
+    return incidents
 
 
-def _is_same_end(one: CrashObservation, other: CrashObservation, moments: DetectionTimes) -> bool:
-    """Return whether a router saw both ends at one moment, at which both runs were there."""
-    both = moments[one.incarnation].keys() & moments[other.incarnation].keys()
-    for router in _witnesses((one, other), both):
-        gap_s = moments[one.incarnation][router] - moments[other.incarnation][router]
-        both_ran = -other.elapsed_s < gap_s - OVERLAP_S and gap_s + OVERLAP_S < one.elapsed_s
-        if both_ran and abs(gap_s) <= SAME_MOMENT_S:
+def _is_same_incident(
+    one: CrashObservation, other: CrashObservation, detection_times: DetectionTimes
+) -> bool:
+    """Return whether a router detected both crashes at once while both attempts were in flight."""
+    both = detection_times[one.incarnation].keys() & detection_times[other.incarnation].keys()
+    for router in _deciding_routers((one, other), both):
+        gap_s = (
+            detection_times[one.incarnation][router] - detection_times[other.incarnation][router]
+        )
+        overlapped = (
+            -other.elapsed_s < gap_s - MIN_OVERLAP_S and gap_s + MIN_OVERLAP_S < one.elapsed_s
+        )
+        if overlapped and abs(gap_s) <= SIMULTANEOUS_S:
             return True
     return False
 
 
-def weight_of(marks: Sequence[CrashObservation], moments: DetectionTimes) -> int:
-    """Return how much the marks of one content speak against it.
+def evidence_weight(
+    observations: Sequence[CrashObservation], detection_times: DetectionTimes
+) -> int:
+    """Return how strongly one content's observations incriminate it.
 
-    An end of a run that was sent before an earlier end weighs less: the content was under way at
-    many places, as what is read by many is, and nobody had a reason to keep it away.
+    An incident weighs less if the attempt was sent before an earlier incident: the content was in
+    flight at many upstreams at once, as one that many callers read is, and no router had a reason
+    yet to keep it from any of them.
     """
     weight = 0
     earlier: list[Mapping[str, float]] = []
-    for end in ends_of(marks, moments):
-        is_strong = any(not m.weak and not _was_sent_before(m, earlier, moments) for m in end)
-        weight += STRONG if is_strong else WEAK
-        earlier.append(_seen_at(end, moments))
+    for incident in incidents_of(observations, detection_times):
+        is_strong = any(
+            not seen.weak and not _was_sent_before(seen, earlier, detection_times)
+            for seen in incident
+        )
+        weight += STRONG_WEIGHT if is_strong else WEAK_WEIGHT
+        earlier.append(_first_detections(incident, detection_times))
     return weight
 
 
-def _seen_at(end: Sequence[CrashObservation], moments: DetectionTimes) -> Mapping[str, float]:
-    """Return when each router first saw one of the lives that ended together."""
+def _first_detections(
+    incident: Sequence[CrashObservation], detection_times: DetectionTimes
+) -> Mapping[str, float]:
+    """Return when each router first detected one of the crashes of an incident."""
     seen: dict[str, float] = {}
-    for mark in end:
-        for router, at in moments[mark.incarnation].items():
+    for observation in incident:
+        for router, at in detection_times[observation.incarnation].items():
             seen[router] = min(at, seen.get(router, at))
     return seen
 
 
 def _was_sent_before(
-    mark: CrashObservation, ends: Sequence[Mapping[str, float]], moments: DetectionTimes
+    observation: CrashObservation,
+    incidents: Sequence[Mapping[str, float]],
+    detection_times: DetectionTimes,
 ) -> bool:
-    """Return whether a run was sent before one of some ends, by a router that saw both."""
-    at_by_router = moments[mark.incarnation] | {mark.router: mark.at}
+    """Return whether an attempt was sent before one of the incidents, by a router that saw both."""
+    at_by_router = detection_times[observation.incarnation] | {observation.router: observation.at}
     return any(
-        at_by_router[router] - mark.elapsed_s < seen[router] - OVERLAP_S
-        for seen in ends
-        for router in _witnesses((mark,), at_by_router.keys() & seen.keys())
+        at_by_router[router] - observation.elapsed_s < seen[router] - MIN_OVERLAP_S
+        for seen in incidents
+        for router in _deciding_routers((observation,), at_by_router.keys() & seen.keys())
     )
 
 
-def _witnesses(marks: Sequence[CrashObservation], routers: Set[str]) -> Set[str]:
-    """Return which of the routers that saw two ends tell how they came: those that sent the runs.
+def _deciding_routers(observations: Sequence[CrashObservation], routers: Set[str]) -> Set[str]:
+    """Return which of the routers that saw two crashes decide on their order: the senders.
 
-    They knew of the one end when they sent to the other upstream, or did not. Another router that
-    stood still for a while has seen both late and together; it is heard if no sender saw both.
+    A router that sent the attempts knew, or didn't know, of the one crash when it sent to the other
+    upstream. Another router that was stalled for a while has detected both late and together; it
+    decides only if no sender saw both.
     """
-    return routers & {mark.router for mark in marks} or routers
+    return routers & {seen.router for seen in observations} or routers
 
 
-def _lives(marks: Sequence[CrashObservation]) -> frozenset[str]:
-    return frozenset(mark.incarnation for mark in marks)
+def _incarnations(observations: Sequence[CrashObservation]) -> frozenset[str]:
+    return frozenset(observation.incarnation for observation in observations)
 
 
-def _surely_worst(
-    left: Mapping[str, Sequence[CrashObservation]], moments: DetectionTimes
+def _clear_culprits(
+    left: Mapping[str, Sequence[CrashObservation]], detection_times: DetectionTimes
 ) -> list[str]:
-    """Return the contents that weigh most, if that is enough and tells them from others."""
-    enough = {content: marks for content, marks in left.items() if len(marks) >= LEAST_MARKS}
-    weights = {content: weight_of(marks, moments) for content, marks in enough.items()}
-    most = max(weights.values(), default=0)
-    if most < HOLD_WEIGHT:
+    """Return the contents of the greatest weight that reach the threshold and are unambiguous."""
+    enough = {content: seen for content, seen in left.items() if len(seen) >= MIN_OBSERVATIONS}
+    weights = {content: evidence_weight(seen, detection_times) for content, seen in enough.items()}
+    greatest = max(weights.values(), default=0)
+    if greatest < HOLD_THRESHOLD:
         return []
-    worst = [content for content, weight in weights.items() if weight == most]
-    if most >= HOLD_WEIGHT + STRONG:
+    worst = [content for content, weight in weights.items() if weight == greatest]
+    if greatest >= HOLD_THRESHOLD + STRONG_WEIGHT:
         return worst
-    return [content for content in worst if not _has_twin(content, worst, left)]
+    return [content for content in worst if not _is_ambiguous(content, worst, left)]
 
 
-def _has_twin(
+def _is_ambiguous(
     content: str, worst: Sequence[str], left: Mapping[str, Sequence[CrashObservation]]
 ) -> bool:
-    """Return whether another content that weighs as much was at most of the same ends."""
-    lives = _lives(left[content])
-    shared = (_lives(left[other]) & lives for other in worst if other != content)
-    return any(len(ends) >= LEAST_MARKS - 1 for ends in shared)
+    """Return whether another content of the same weight shares nearly all of its crashes."""
+    incarnations = _incarnations(left[content])
+    shared = (_incarnations(left[other]) & incarnations for other in worst if other != content)
+    return any(len(crashes) >= MIN_OBSERVATIONS - 1 for crashes in shared)
--- a/railtide/containment/crash_detection.py
+++ b/railtide/containment/crash_detection.py
@@ -1,9 +1,10 @@
-"""Which lives of upstreams have ended, told from answers that merely broke off.
+"""Detects crashed upstreams, as distinct from answers that merely broke off.
 
-An answer breaks off when an upstream ends, and also when it is spoilt, when a link is cut, or when
-this router slept. So a break alone is no end: what follows it decides. Nobody listens at the
-address any more, or another life does: it has ended, and what broke off shortly before was under
-way at the end. A later request that it answers: it lives.
+An answer breaks off when its upstream crashes, but also when the answer is malformed, when a link
+is cut, or when this router was suspended. A broken answer alone therefore proves no crash; what
+follows decides. If nothing listens at the address any more, or another incarnation does, the
+upstream has crashed, and the attempts that broke off shortly before were in flight at the crash. If
+the upstream answers a later request, it is alive.
 """
 
 import math
@@ -16,23 +17,24 @@
 
 from railtide.membership.instances import Instance
 
-__all__ = ["BrokenAttempt", "CrashSign", "CrashDetector", "ProbeResult", "UpstreamAttempt"]
+__all__ = ["BrokenAttempt", "CrashDetector", "CrashSign", "ProbeResult", "UpstreamAttempt"]
 
-BREAK_KEPT_S = 5.0
-"""How long a break waits to be explained. Above the 3.6 s after which the record of a silent
-upstream goes; a later end has another cause."""
-RESTART_S = 1.5
-"""Within which a new life that a probe has found is listed: it writes of itself when it starts, and
-a router reads that within a second."""
-MOST_ENDED = 256
-"""Ended lives that are remembered, for breaks that are noticed after the end."""
+BREAK_RETENTION_S = 5.0
+"""How long a broken attempt waits for an explanation. Longer than the 3.6 s after which the record
+of an unresponsive upstream is removed; a later crash has another cause."""
+RESTART_LISTING_S = 1.5
+"""Time within which a new incarnation that a probe has connected to is listed: it writes its record
+when it starts, and a router reads that within a second."""
+MAX_CRASHED = 256
+"""Crashed incarnations that are remembered, for attempts whose break is noticed after the crash."""
 PROBE_WAIT_S = 0.05
-"""Longest wait of a second try for the word on its first. Where nobody listens the system says so
-within a round trip; a link of a few milliseconds has ten of them."""
+"""Longest time for which a second attempt waits for the probe of the first one's upstream. Where
+nothing listens, the connection is refused within a round trip; on a link of a few milliseconds this
+leaves time for ten."""
 
 
 class ProbeResult(StrEnum):
-    """What a connection to an upstream's address found."""
+    """Outcome of a connection to an upstream's address."""
 
     REFUSED = "refused"
     CONNECTED = "connected"
@@ -40,7 +42,7 @@
 
 
 class CrashSign(StrEnum):
-    """What told that a life has ended."""
+    """What showed that an incarnation has crashed."""
 
     REFUSED = "refused"
     MOVED = "moved"
@@ -49,7 +51,7 @@
 
 @dataclass(frozen=True)
 class UpstreamAttempt:
-    """One run of a content at an upstream.
+    """One attempt to run a content at an upstream.
 
     Attributes
     ----------
@@ -57,7 +59,7 @@
     sent_at : float
         Trio time.
     head_at : float or None
-        When the head of its answer came.
+        Trio time at which the head of the answer arrived.
     """
 
     content: str
@@ -67,61 +69,63 @@
 
 @dataclass(frozen=True)
 class BrokenAttempt:
-    """A run whose answer broke off at a trio time."""
+    """An attempt whose answer broke off at a trio time."""
 
-    run: UpstreamAttempt
+    attempt: UpstreamAttempt
     at: float
 
 
 @dataclass
-class _Watched:
-    """A life some of whose answers broke off lately.
+class _WatchedUpstream:
+    """An incarnation of an upstream some of whose answers broke off lately.
 
     Attributes
     ----------
-    break_by_content : dict of str to Break
-        Of each the latest, and of runs that were there together the one that was sent first: for
-        so long the upstream had lived with that content.
+    broken_by_content : dict of str to BrokenAttempt
+        The latest of each content; of attempts that were in flight together, the one that was sent
+        first, as it shows how long the upstream ran that content without crashing.
     connected_at : float
-        When a probe last found somebody at its address: itself, or a new life.
+        When the last successful probe of its address began. What accepted the connection may be the
+        upstream or a new incarnation.
     probe : trio.Event or None
-        Set when the probe that is under way is over.
-    is_mute : bool
-        Whether it was asked again after the first of these breaks, and did not begin to answer.
+        Set when the probe in progress has ended.
+    is_unresponsive : bool
+        Whether it was sent another request after the first of these breaks and didn't begin to
+        answer it.
     """
 
     instance: Instance
-    break_by_content: dict[str, BrokenAttempt] = field(default_factory=dict)
+    broken_by_content: dict[str, BrokenAttempt] = field(default_factory=dict)
     connected_at: float = -math.inf
     probe: trio.Event | None = None
-    is_mute: bool = False
+    is_unresponsive: bool = False
 
     @property
     def first_break_at(self) -> float:
         """When the earliest of the answers broke off."""
-        return min((one.at for one in self.break_by_content.values()), default=math.inf)
+        return min((broken.at for broken in self.broken_by_content.values()), default=math.inf)
 
     def note(self, broken: BrokenAttempt) -> None:
-        """Take a break, unless it is of a run that joined one which broke off as well."""
-        run = broken.run
-        if run.head_at is None and run.sent_at > self.first_break_at:
-            self.is_mute = True
-        former = self.break_by_content.get(run.content)
-        if former and former.run.sent_at <= run.sent_at < former.at:
+        """Record a broken attempt, unless an earlier one overlapped it and broke off as well."""
+        attempt = broken.attempt
+        if attempt.head_at is None and attempt.sent_at > self.first_break_at:
+            self.is_unresponsive = True
+        former = self.broken_by_content.get(attempt.content)
+        if former and former.attempt.sent_at <= attempt.sent_at < former.at:
             return
-        self.break_by_content[run.content] = broken
+        self.broken_by_content[attempt.content] = broken
 
 
 class CrashDetector:
-    """Tells of lives that ended, and of what was under way then.
+    """Reports incarnations of upstreams that crashed, and the attempts in flight at the crash.
 
     Parameters
     ----------
     probe : callable
-        Connects to an upstream's address and returns what it found.
-    on_end : callable
-        Told of a life that ended and of the runs that it broke off; called again for those that
-        are noticed later.
+        Connects to an upstream's address and returns the outcome.
+    on_crash : callable
+        Called with an instance that crashed and its broken attempts; called again for attempts
+        whose break is noticed later.
     start_soon : callable
         Runs an async function in the background.
     """
@@ -129,114 +133,117 @@
     def __init__(
         self,
         probe: Callable[[Instance], Awaitable[ProbeResult]],
-        on_end: Callable[[Instance, list[BrokenAttempt]], None],
+        on_crash: Callable[[Instance, list[BrokenAttempt]], None],
         start_soon: Callable[..., None],
     ) -> None:
         self._probe = probe
-        self._on_end = on_end
+        self._on_crash = on_crash
         self._start_soon = start_soon
-        self._watched_by_life: dict[str, _Watched] = {}
-        self._ended_at_by_life: dict[str, float] = {}
+        self._watched_by_incarnation: dict[str, _WatchedUpstream] = {}
+        self._crashed_at_by_incarnation: dict[str, float] = {}
 
-    def note_broken(self, instance: Instance, run: UpstreamAttempt) -> None:
-        """Record that an answer of an upstream broke off; ask whether it lives."""
+    def note_broken(self, instance: Instance, attempt: UpstreamAttempt) -> None:
+        """Record that an upstream's answer broke off, and probe whether the upstream is alive."""
         now = trio.current_time()
-        life = instance.incarnation
-        if now - self._ended_at_by_life.get(life, -math.inf) <= BREAK_KEPT_S:
-            self._on_end(instance, [BrokenAttempt(run, now)])
+        incarnation = instance.incarnation
+        if now - self._crashed_at_by_incarnation.get(incarnation, -math.inf) <= BREAK_RETENTION_S:
+            self._on_crash(instance, [BrokenAttempt(attempt, now)])
             return
-        watched = self._watched_by_life.setdefault(life, _Watched(instance))
-        watched.note(BrokenAttempt(run, now))
+        watched = self._watched_by_incarnation.setdefault(incarnation, _WatchedUpstream(instance))
+        watched.note(BrokenAttempt(attempt, now))
         if watched.probe is None:
             watched.probe = trio.Event()
-            self._start_soon(self._ask, watched, watched.probe)
+            self._start_soon(self._probe_upstream, watched, watched.probe)
 
-    async def _ask(self, watched: _Watched, over: trio.Event) -> None:
+    async def _probe_upstream(self, watched: _WatchedUpstream, done: trio.Event) -> None:
         began = trio.current_time()
         try:
             found = await self._probe(watched.instance)
             if found is ProbeResult.REFUSED:
-                self.note_ended(watched.instance, CrashSign.REFUSED)
+                self.note_crashed(watched.instance, CrashSign.REFUSED)
             elif found is ProbeResult.CONNECTED:
                 watched.connected_at = began
         finally:
             watched.probe = None
-            over.set()
+            done.set()
 
     async def wait_for_probe(self, instance: Instance) -> None:
-        """Wait for a moment until it is known whether an upstream whose answer broke off lives."""
-        watched = self._watched_by_life.get(instance.incarnation)
+        """Wait for the probe of an upstream, if one is in progress, for at most `PROBE_WAIT_S`."""
+        watched = self._watched_by_incarnation.get(instance.incarnation)
         if watched and watched.probe is not None:
             with trio.move_on_after(PROBE_WAIT_S):
                 await watched.probe.wait()
 
     def note_alive(self, instance: Instance, sent_at: float) -> None:
         """Record that an upstream answers a request that was sent at a trio time."""
-        watched = self._watched_by_life.get(instance.incarnation)
+        watched = self._watched_by_incarnation.get(instance.incarnation)
         if not watched:
             return
-        kept = {c: one for c, one in watched.break_by_content.items() if one.at >= sent_at}
-        watched.break_by_content = kept
-        watched.is_mute = False
+        kept = {c: one for c, one in watched.broken_by_content.items() if one.at >= sent_at}
+        watched.broken_by_content = kept
+        watched.is_unresponsive = False
         if not kept:
-            del self._watched_by_life[instance.incarnation]
+            del self._watched_by_incarnation[instance.incarnation]
 
     def note_listed(self, instances: list[Instance]) -> None:
-        """Take lives that were not listed before: one may have taken a former one's place."""
+        """Record newly listed incarnations, any of which may have replaced a former one."""
         self._forget_old_breaks()
-        for watched in list(self._watched_by_life.values()):
+        for watched in list(self._watched_by_incarnation.values()):
             if any(_replaces(instance, watched.instance) for instance in instances):
-                self.note_ended(watched.instance, CrashSign.REPLACED)
+                self.note_crashed(watched.instance, CrashSign.REPLACED)
 
     def _forget_old_breaks(self) -> None:
-        """Forget the breaks that no end can explain any more."""
-        old = trio.current_time() - BREAK_KEPT_S
-        for life, watched in list(self._watched_by_life.items()):
-            if all(one.at < old for one in watched.break_by_content.values()):
-                del self._watched_by_life[life]
-
-    def note_ended(self, instance: Instance, sign: CrashSign) -> None:
-        """Record that a life has ended; what broke off lately was under way."""
-        watched = self._watched_by_life.pop(instance.incarnation, None)
+        """Forget broken attempts that no later crash can explain."""
+        old = trio.current_time() - BREAK_RETENTION_S
+        for incarnation, watched in list(self._watched_by_incarnation.items()):
+            if all(broken.at < old for broken in watched.broken_by_content.values()):
+                del self._watched_by_incarnation[incarnation]
+
+    def note_crashed(self, instance: Instance, sign: CrashSign) -> None:
+        """Record that an incarnation has crashed with the attempts that broke off lately."""
+        watched = self._watched_by_incarnation.pop(instance.incarnation, None)
         if not watched:
             return
         now = trio.current_time()
-        broken = watched.break_by_content.values()
-        breaks = [one for one in broken if _explains(watched, sign, one, now)]
-        if not breaks:
+        candidates = watched.broken_by_content.values()
+        broken_attempts = [one for one in candidates if _explains(watched, sign, one, now)]
+        if not broken_attempts:
             return
-        self._ended_at_by_life[instance.incarnation] = now
-        if len(self._ended_at_by_life) > MOST_ENDED:
-            del self._ended_at_by_life[next(iter(self._ended_at_by_life))]
+        self._crashed_at_by_incarnation[instance.incarnation] = now
+        if len(self._crashed_at_by_incarnation) > MAX_CRASHED:
+            del self._crashed_at_by_incarnation[next(iter(self._crashed_at_by_incarnation))]
         logger.bind(
             upstream=instance.name,
             incarnation=instance.incarnation,
             sign=str(sign),
-            under_way=len(breaks),
+            under_way=len(broken_attempts),
         ).info("upstream-ended")
-        self._on_end(instance, breaks)
+        self._on_crash(instance, broken_attempts)
 
 
-def _explains(watched: _Watched, sign: CrashSign, broken: BrokenAttempt, now: float) -> bool:
-    """Return whether a sign that a life has ended explains an answer that broke off before.
+def _explains(
+    watched: _WatchedUpstream, sign: CrashSign, broken: BrokenAttempt, now: float
+) -> bool:
+    """Return whether a sign of a crash explains an attempt that broke off before.
 
-    A probe that connected after the break found that life, a new one in its place, or something
-    that stands before it and accepts for it. If it was a new one, that is listed soon; what shows
-    itself later is the end of one that lived on, unless that was asked meanwhile and answered
-    nothing: then it had ended with the first break, and what was sent later was not there.
+    A probe that connected after the break reached the same incarnation, a new one in its place, or
+    a proxy in front of it that accepts connections on its behalf. A new incarnation is listed soon.
+    A sign that comes later is that of an upstream that survived the break, unless the upstream was
+    sent another request meanwhile and answered nothing: then it had crashed at the first break, and
+    attempts sent after that were not in flight at the crash.
     """
     age_s = now - broken.at
     if broken.at > watched.connected_at:
-        return age_s <= BREAK_KEPT_S
+        return age_s <= BREAK_RETENTION_S
     if sign is CrashSign.REFUSED:
         return False
-    if watched.is_mute:
-        return age_s <= BREAK_KEPT_S and broken.run.sent_at <= watched.first_break_at
-    return age_s <= RESTART_S
+    if watched.is_unresponsive:
+        return age_s <= BREAK_RETENTION_S and broken.attempt.sent_at <= watched.first_break_at
+    return age_s <= RESTART_LISTING_S
 
 
 def _replaces(instance: Instance, former: Instance) -> bool:
-    """Return whether an upstream can only be there because the former one is not."""
+    """Return whether a listed upstream implies that the former one is gone."""
     if instance.incarnation == former.incarnation or instance.born < former.born:
         return False
     return instance.address == former.address or instance.name == former.name
--- a/railtide/containment/errors.py
+++ b/railtide/containment/errors.py
@@ -1,4 +1,4 @@
-"""Errors of containment."""
+"""Errors of crash containment."""
 
 from railtide.errors import RailtideError, Run
 
@@ -6,9 +6,9 @@
 
 
 class ContentHeld(RailtideError):
-    """The upstreams that ran this content ended under it; it is not sent to another one for now.
+    """Several upstreams crashed while running this content; for now it is sent to no upstream.
 
-    `retry_after` is when it may be sent again at the earliest.
+    `retry_after` is the earliest time at which it may be sent again.
     """
 
     code = "content-held"
--- a/railtide/containment/guard.py
+++ b/railtide/containment/guard.py
@@ -1,4 +1,4 @@
-"""What a request asks and tells on its way: whether it may run, where, and what became of it."""
+"""What the request path calls for crash containment: whether and where a content may run."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable, Iterator, Sequence
@@ -23,61 +23,61 @@
 __all__ = ["ContentGuard", "CrashGuard", "NoGuard", "Preference"]
 
 Preference = Callable[[Sequence[str]], frozenset[str]]
-"""Returns, of the names of upstreams, those at which a request had best run."""
+"""Selects, from the names of upstreams, those to which a request should preferably be sent."""
 
 
-JUDGED_S = 0.05
-"""How long the marks of one end take to come from all routers that saw it: two answers of a store
-of 4 ms and the probes before, with some to spare. Without this wait an innocent content was refused
-in the 6 ms between its own mark and another router's."""
-SURVIVED_S = 0.15
-"""An upstream that has run a request for so long is not ended by it: those that are end within some
-0.1 s of the begin."""
+VERDICT_SETTLE_S = 0.05
+"""How long the observations of one crash take to arrive from all routers that saw it: the probes
+and two answers of a store that takes 4 ms, with a margin. Without this wait an innocent content was
+refused in the 6 ms between this router's own observation and another router's."""
+SURVIVAL_S = 0.15
+"""An upstream that has run a request for this long isn't crashed by it: those that a request
+crashes do so within some 0.1 s of its start."""
 
 
 class ContentGuard(ABC):
-    """Keeps contents that end upstreams away from them."""
+    """Keeps contents that crash upstreams away from them."""
 
     @abstractmethod
     async def check(self, content: str) -> None:
-        """Raise `ContentHeld` if a content is not to be sent."""
+        """Raise `ContentHeld` if a content must not be sent."""
 
     @abstractmethod
     def preference_of(self, content: str) -> Preference | None:
-        """Return where a content had best run, None for one that is no suspect."""
+        """Return where a content should preferably run, None if it is not a suspect."""
 
     @abstractmethod
     def cancel_scope_for(
         self, content: str, head_at: Callable[[], float | None]
     ) -> AbstractContextManager[trio.CancelScope]:
-        """Return a scope for one run, which is cancelled if the content comes to be held.
+        """Return a scope for one attempt, cancelled if the content becomes held.
 
         Parameters
         ----------
         content : str
         head_at : callable
-            Returns the trio time at which the head of the answer came, None before.
+            Returns the trio time at which the head of the answer arrived, None before that.
         """
 
     @abstractmethod
     async def note_failure(
-        self, instance: Instance, run: UpstreamAttempt, err: UpstreamError
+        self, instance: Instance, attempt: UpstreamAttempt, err: UpstreamError
     ) -> None:
-        """Take how a try failed; returns once it is known whether its upstream lives, or soon."""
+        """Record how an attempt failed; wait briefly until it is known if its upstream is alive."""
 
     @abstractmethod
-    def note_answer(self, instance: Instance, run: UpstreamAttempt, complete: bool) -> None:
-        """Record that an upstream answered a run whole.
+    def note_answer(self, instance: Instance, attempt: UpstreamAttempt, complete: bool) -> None:
+        """Record that an upstream's answer to an attempt has ended without a failure.
 
-        `complete` is whether the answer shows that the content was run to its end.
+        `complete` is whether the answer proves that the upstream ran the content to its end.
         """
 
 
 class NoGuard(ContentGuard):
-    """Lets everything run anywhere."""
+    """Lets every content run at any upstream."""
 
     async def check(self, content: str) -> None:
-        """Let it run; see `ContentGuard.check`."""
+        """Accept the content; see `ContentGuard.check`."""
 
     def preference_of(self, content: str) -> Preference | None:
         """Return None; see `ContentGuard.preference_of`."""
@@ -86,106 +86,107 @@
     def cancel_scope_for(
         self, content: str, head_at: Callable[[], float | None]
     ) -> AbstractContextManager[trio.CancelScope]:
-        """Return a scope that nothing cancels; see `ContentGuard.cancel_scope_for`."""
+        """Return a scope that is never cancelled; see `ContentGuard.cancel_scope_for`."""
         return trio.CancelScope()
 
     async def note_failure(
-        self, instance: Instance, run: UpstreamAttempt, err: UpstreamError
+        self, instance: Instance, attempt: UpstreamAttempt, err: UpstreamError
     ) -> None:
-        """Learn nothing; see `ContentGuard.note_failure`."""
+        """Do nothing; see `ContentGuard.note_failure`."""
 
-    def note_answer(self, instance: Instance, run: UpstreamAttempt, complete: bool) -> None:
-        """Learn nothing; see `ContentGuard.note_answer`."""
+    def note_answer(self, instance: Instance, attempt: UpstreamAttempt, complete: bool) -> None:
+        """Do nothing; see `ContentGuard.note_answer`."""
 
 
 @dataclass(eq=False)
-class _Running:
-    """A run that is under way."""
+class _RunningAttempt:
+    """An attempt in flight."""
 
     scope: trio.CancelScope
     head_at: Callable[[], float | None]
 
 
 class CrashGuard(ContentGuard):
-    """Judges by the ends of upstreams that all routers saw.
+    """Decides by the upstream crashes that all routers observed.
 
     Parameters
     ----------
     registry : CrashRegistry
-    watch : EndWatch
+    detector : CrashDetector
     """
 
-    def __init__(self, registry: CrashRegistry, watch: CrashDetector) -> None:
+    def __init__(self, registry: CrashRegistry, detector: CrashDetector) -> None:
         self._registry = registry
-        self._watch = watch
-        self._runs_by_content: dict[str, list[_Running]] = {}
-        registry.on_held = self._stop
+        self._detector = detector
+        self._attempts_by_content: dict[str, list[_RunningAttempt]] = {}
+        registry.on_held = self._cancel_attempts
 
     async def check(self, content: str) -> None:
-        """Raise if it is held; see `ContentGuard.check`.
+        """Raise if the content is held; see `ContentGuard.check`.
 
-        A verdict that is fresh is waited out: other routers that saw the same end may tell of a
+        A fresh verdict is given time to settle: other routers that saw the same crash may report a
         content that explains it.
         """
         if self._refusal_of(content):
-            await trio.sleep(max(0.0, JUDGED_S - self._registry.held_for_s(content)))
+            await trio.sleep(max(0.0, VERDICT_SETTLE_S - self._registry.held_for_s(content)))
         refusal = self._refusal_of(content)
         if refusal:
             raise refusal
 
     def _refusal_of(self, content: str) -> ContentHeld | None:
-        return self._registry.refusal_of(content, content in self._runs_by_content)
+        return self._registry.refusal_of(content, content in self._attempts_by_content)
 
     def preference_of(self, content: str) -> Preference | None:
-        """Return the upstreams that keep it apart; see `ContentGuard.preference_of`."""
-        strikes = self._registry.suspect_crash_counts(content)
-        if not strikes:
+        """Return the upstreams that keep suspects apart; see `ContentGuard.preference_of`."""
+        crash_counts = self._registry.suspect_crash_counts(content)
+        if not crash_counts:
             return None
-        return lambda names: preferred_upstreams(content, strikes, names)
+        return lambda names: preferred_upstreams(content, crash_counts, names)
 
     @contextmanager
     def cancel_scope_for(
         self, content: str, head_at: Callable[[], float | None]
     ) -> Iterator[trio.CancelScope]:
-        """Yield a scope for the run; see `ContentGuard.cancel_scope_for`."""
-        runs = self._runs_by_content.setdefault(content, [])
+        """Yield a scope for the attempt; see `ContentGuard.cancel_scope_for`."""
+        attempts = self._attempts_by_content.setdefault(content, [])
         with trio.CancelScope() as scope:
-            run = _Running(scope, head_at)
-            runs.append(run)
+            attempt = _RunningAttempt(scope, head_at)
+            attempts.append(attempt)
             try:
                 yield scope
             finally:
-                runs.remove(run)
-                if not runs:
-                    del self._runs_by_content[content]
+                attempts.remove(attempt)
+                if not attempts:
+                    del self._attempts_by_content[content]
 
-    def _stop(self, content: str) -> None:
-        """Stop the runs of a content that is held, and so save upstreams that have not begun it.
+    def _cancel_attempts(self, content: str) -> None:
+        """Cancel the attempts of a content that became held, before their upstreams start it.
 
-        One that an upstream has run for a while goes on: if it ends soundly, the content is free.
+        An attempt that its upstream has run for `SURVIVAL_S` goes on: if it completes, the content
+        is cleared.
         """
         now = trio.current_time()
-        for run in self._runs_by_content.get(content, ()):
-            head_at = run.head_at()
-            if head_at is None or now - head_at < SURVIVED_S:
-                run.scope.cancel()
+        for attempt in self._attempts_by_content.get(content, ()):
+            head_at = attempt.head_at()
+            if head_at is None or now - head_at < SURVIVAL_S:
+                attempt.scope.cancel()
 
     async def note_failure(
-        self, instance: Instance, run: UpstreamAttempt, err: UpstreamError
+        self, instance: Instance, attempt: UpstreamAttempt, err: UpstreamError
     ) -> None:
-        """Take a try that failed; see `ContentGuard.note_failure`."""
+        """Record how an attempt failed; see `ContentGuard.note_failure`."""
         if isinstance(err, UpstreamAbsent):
-            self._watch.note_ended(instance, CrashSign.REFUSED)
+            self._detector.note_crashed(instance, CrashSign.REFUSED)
         elif isinstance(err, UpstreamMoved):
-            self._watch.note_ended(instance, CrashSign.MOVED)
+            self._detector.note_crashed(instance, CrashSign.MOVED)
         elif isinstance(err, UpstreamFailed):
-            self._watch.note_alive(instance, run.sent_at)
+            self._detector.note_alive(instance, attempt.sent_at)
         elif isinstance(err, UpstreamBroken):
-            self._watch.note_broken(instance, run)
-            await self._watch.wait_for_probe(instance)
+            self._detector.note_broken(instance, attempt)
+            await self._detector.wait_for_probe(instance)
 
-    def note_answer(self, instance: Instance, run: UpstreamAttempt, complete: bool) -> None:
-        """Take an answer; see `ContentGuard.note_answer`."""
-        self._watch.note_alive(instance, run.sent_at)
+    def note_answer(self, instance: Instance, attempt: UpstreamAttempt, complete: bool) -> None:
+        """Record an answer; see `ContentGuard.note_answer`."""
+        self._detector.note_alive(instance, attempt.sent_at)
         if complete:
-            self._registry.note_completed(run.content)
+            self._registry.note_completed(attempt.content)
--- a/railtide/containment/holding.py
+++ b/railtide/containment/holding.py
@@ -1,76 +1,92 @@
-"""How long a content is held, and how much is remembered of contents. Pure."""
+"""How long a content is held, and which observations are retained. No I/O."""
 
 from collections.abc import Iterable, Sequence
 
-from railtide.containment.blame import HOLD_WEIGHT, STRONG, moments_of, weight_of
+from railtide.containment.blame import (
+    HOLD_THRESHOLD,
+    STRONG_WEIGHT,
+    detection_times_of,
+    evidence_weight,
+)
 from railtide.containment.observations import CrashObservation, DetectionTimes, ObservationSet
 
-__all__ = ["KEEP_S", "MOST_CONTENTS", "held_until", "surplus"]
+__all__ = ["MAX_CONTENTS", "RETENTION_S", "held_until", "surplus_observations"]
 
-HOLD_S = 600.0
-"""From the end that holds a content until it may be tried again: upstreams that were mended are
-found within minutes, and so is a content that was held though it was innocent."""
-HOLD_GROWTH = 4.0
-MOST_ENDS = 6
-"""Upstreams that may end under one content in all: three, and three retries, as users allow. Then
-it is held until its marks are forgotten or lifted by hand."""
-KEEP_S = 86_400.0
-"""How long a mark is kept: above 10 + 40 + 160 minutes, in which the trials fall."""
-MOST_CONTENTS = 4_096
-"""Contents that are remembered; those that say least are forgotten first. A mark is some 110 bytes
-in the store, so that a start reads half a megabyte where each has one."""
+BASE_HOLD_S = 600.0
+"""From the crash that holds a content until its first trial: repaired upstreams are noticed within
+minutes, and so is a content that was held although it was innocent."""
+HOLD_GROWTH_FACTOR = 4.0
+MAX_CRASHES = 6
+"""Upstreams that may crash under one content in all: three, and one for each of three trials, as
+users allow. From then on it is held until its observations expire or an operator lifts the hold."""
+RETENTION_S = 86_400.0
+"""How long an observation is kept: longer than 10 + 40 + 160 minutes, in which the trials fall."""
+MAX_CONTENTS = 4_096
+"""Contents that are remembered; those with the least evidence are forgotten first. An observation
+is some 110 bytes in the store, so with one for each content a start reads half a megabyte."""
 
 
 def held_until(
-    marks: Sequence[CrashObservation], now: float, moments: DetectionTimes | None = None
+    observations: Sequence[CrashObservation],
+    now: float,
+    detection_times: DetectionTimes | None = None,
 ) -> float:
-    """Return until when a content is held by its marks, Unix seconds.
+    """Return until when a content is held by its observations, Unix seconds.
 
-    A mark of a clock that is ahead counts as one of now. For `moments` see `assign_blame`.
+    An observation from the future, of a clock that is ahead, counts as one of now. For
+    `detection_times` see `assign_blame`.
 
     Examples
     --------
-    >>> marks = [CrashObservation("c", str(life), at=10.0 * life) for life in range(6)]
-    >>> [held_until(seen, now=60.0) for seen in (marks[:3], marks[:4], marks)]
+    >>> seen = [CrashObservation("c", str(n), at=10.0 * n) for n in range(6)]
+    >>> [held_until(part, now=60.0) for part in (seen[:3], seen[:4], seen)]
     [620.0, 2430.0, 86450.0]
     """
-    last = min(now, max(mark.at for mark in marks))
-    if len(marks) >= MOST_ENDS:
-        return last + KEEP_S
-    moments = moments_of(marks) if moments is None else moments
-    beyond = max(0, weight_of(marks, moments) - HOLD_WEIGHT) // STRONG
-    return last + HOLD_S * HOLD_GROWTH**beyond
+    last = min(now, max(observation.at for observation in observations))
+    if len(observations) >= MAX_CRASHES:
+        return last + RETENTION_S
+    detection_times = (
+        detection_times_of(observations) if detection_times is None else detection_times
+    )
+    failed_trials = (
+        max(0, evidence_weight(observations, detection_times) - HOLD_THRESHOLD) // STRONG_WEIGHT
+    )
+    return last + BASE_HOLD_S * HOLD_GROWTH_FACTOR**failed_trials
 
 
-def surplus(
-    evidence: ObservationSet, now: float, most: int = MOST_CONTENTS
+def surplus_observations(
+    observations: ObservationSet, now: float, max_contents: int = MAX_CONTENTS
 ) -> list[CrashObservation]:
-    """Return the marks to be forgotten: old ones, and beyond the bound those that say least.
+    """Return the observations to be forgotten: expired ones, and those beyond the bound.
+
+    Beyond the bound go the contents with the least evidence.
 
     Examples
     --------
-    >>> evidence = ObservationSet()
-    >>> _ = [evidence.add(CrashObservation(c, life, at)) for c, life, at in
+    >>> observations = ObservationSet()
+    >>> _ = [observations.add(CrashObservation(content, incarnation, at))
+    ...      for content, incarnation, at in
     ...      [("a", "1", 0.0), ("b", "1", 90_000.0), ("c", "1", 90_001.0), ("c", "2", 90_001.0)]]
-    >>> [mark.content for mark in surplus(evidence, now=90_002.0)]
+    >>> [seen.content for seen in surplus_observations(observations, now=90_002.0)]
     ['a']
-    >>> [mark.content for mark in surplus(evidence, now=90_002.0, most=1)]
+    >>> [seen.content
+    ...  for seen in surplus_observations(observations, now=90_002.0, max_contents=1)]
     ['a', 'b']
     """
-    old = [mark for mark in evidence.marks() if now - mark.at > KEEP_S]
+    expired = [seen for seen in observations.all() if now - seen.at > RETENTION_S]
     by_content: dict[str, list[CrashObservation]] = {}
-    for mark in evidence.marks():
-        if now - mark.at <= KEEP_S:
-            by_content.setdefault(mark.content, []).append(mark)
-    beyond = max(0, len(by_content) - most)
-    if not beyond:
-        return old
-    least = sorted(by_content.values(), key=_weight)[:beyond]
-    return old + [mark for marks in least for mark in marks]
+    for observation in observations.all():
+        if now - observation.at <= RETENTION_S:
+            by_content.setdefault(observation.content, []).append(observation)
+    excess = max(0, len(by_content) - max_contents)
+    if not excess:
+        return expired
+    least = sorted(by_content.values(), key=_evidence)[:excess]
+    return expired + [seen for of_content in least for seen in of_content]
 
 
-def _weight(marks: Iterable[CrashObservation]) -> tuple[int, float]:
-    """Return how much the marks of a content say: their number, then how new they are."""
-    listed = list(marks)
-    standing = sum(not mark.cleared for mark in listed)
-    return standing, max(mark.at for mark in listed)
+def _evidence(observations: Iterable[CrashObservation]) -> tuple[int, float]:
+    """Return a sort key: the number of uncleared observations, then the time of the newest."""
+    listed = list(observations)
+    uncleared = sum(not seen.cleared for seen in listed)
+    return uncleared, max(seen.at for seen in listed)
--- a/railtide/containment/observations.py
+++ b/railtide/containment/observations.py
@@ -1,40 +1,42 @@
-"""What was seen of contents and of upstreams that ended, as a union. Pure.
+"""Observations of contents in flight at upstream crashes, as a set that merges without conflicts.
 
-A mark stands for one content that was under way when one life of an upstream ended. Routers that
-saw the same thing make the same mark, so marks need no counter that two of them add to: whatever
-was lost, repeated or came late, the union of all marks is the same.
+An observation stands for one content that was in flight when one incarnation of an upstream
+crashed. Its key is the pair of the two, so routers that saw the same thing produce the same entry
+and no counter has to be incremented by several routers. Whatever was lost, repeated or reordered on
+the way, the merged set is the same. No I/O.
 """
 
 from collections import Counter
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass
 
-__all__ = ["ObservationSet", "CrashObservation", "DetectionTimes", "supersedes"]
+__all__ = ["CrashObservation", "DetectionTimes", "ObservationSet", "supersedes"]
 
 DetectionTimes = Mapping[str, dict[str, float]]
-"""By life and router, when a router first saw a run broken off by that life's end, by its own
-clock. It knew of the end from then on, though it may see other runs broken off later."""
+"""By incarnation and router, when a router first saw one of its attempts broken off by that crash,
+by the router's own clock. The router knew of the crash from then on, though it may notice other
+broken attempts later."""
 
 
 @dataclass(frozen=True)
 class CrashObservation:
-    """One content that was under way at the end of one life of an upstream.
+    """One content that was in flight when one incarnation of an upstream crashed.
 
     Attributes
     ----------
     content, incarnation : str
         Digests.
     at : float
-        When, Unix seconds by the clock of the router that saw it.
+        When the attempt broke off, Unix seconds by the clock of the observing router.
     router : str
-        That router.
+        The observing router.
     elapsed_s : float
-        For how long it had been there by then, seconds.
+        How long the attempt had been in flight by then, seconds.
     weak : bool
-        Whether the end is hardly its fault: the upstream had begun it long before, or had ended
-        already when it came.
+        Whether the content is unlikely to be the cause: the upstream had begun to answer it long
+        before, or had already crashed when it was sent.
     cleared : bool
-        Whether the content was answered soundly since: it is not why that life ended.
+        Whether the content was answered completely since, so that it isn't the cause.
     """
 
     content: str
@@ -47,92 +49,99 @@
 
 
 class ObservationSet:
-    """All marks, by content.
+    """All observations, by content.
 
     Examples
     --------
-    >>> evidence = ObservationSet()
+    >>> observations = ObservationSet()
     >>> seen = CrashObservation("c", "i-1", at=5.0)
-    >>> evidence.add(seen)
+    >>> observations.add(seen)
     True
-    >>> evidence.add(seen), evidence.incarnations("c")
+    >>> observations.add(seen), observations.incarnations("c")
     (False, frozenset({'i-1'}))
     >>> cleared = CrashObservation("c", "i-1", at=5.0, cleared=True)
-    >>> evidence.add(cleared), evidence.incarnations("c")
+    >>> observations.add(cleared), observations.incarnations("c")
     (True, frozenset())
-    >>> evidence.add(seen), evidence.incarnations("c")
+    >>> observations.add(seen), observations.incarnations("c")
     (False, frozenset())
     """
 
     def __init__(self) -> None:
-        self._marks_by_content: dict[str, dict[str, CrashObservation]] = {}
-        self._moments: dict[str, dict[str, float]] = {}
-        self._marks_by_life: Counter[str] = Counter()
+        self._by_content: dict[str, dict[str, CrashObservation]] = {}
+        self._detected_at: dict[str, dict[str, float]] = {}
+        self._counts: Counter[str] = Counter()
 
     def __contains__(self, content: str) -> bool:
-        return content in self._marks_by_content
+        return content in self._by_content
 
     def __len__(self) -> int:
-        return len(self._marks_by_content)
+        return len(self._by_content)
 
-    def add(self, mark: CrashObservation) -> bool:
-        """Take a mark and return whether it says anything new.
+    def add(self, observation: CrashObservation) -> bool:
+        """Merge an observation and return whether it changes the set.
 
-        A cleared one stays so, and one that is not weak stays that. Else the longer run counts:
-        for so long the upstream had lived with the content.
+        A cleared observation takes precedence over all others, and a strong one over a weak one.
+        Otherwise the longer attempt wins, as it shows how long the upstream ran the content without
+        crashing.
         """
-        moments = self._moments.setdefault(mark.incarnation, {})
-        moments[mark.router] = min(mark.at, moments.get(mark.router, mark.at))
-        marks = self._marks_by_content.setdefault(mark.content, {})
-        known = marks.get(mark.incarnation)
-        if known and _rank(known) >= _rank(mark):
+        times = self._detected_at.setdefault(observation.incarnation, {})
+        times[observation.router] = min(
+            observation.at, times.get(observation.router, observation.at)
+        )
+        by_incarnation = self._by_content.setdefault(observation.content, {})
+        known = by_incarnation.get(observation.incarnation)
+        if known and _rank(known) >= _rank(observation):
             return False
-        self._marks_by_life[mark.incarnation] += not known
-        marks[mark.incarnation] = mark
+        self._counts[observation.incarnation] += not known
+        by_incarnation[observation.incarnation] = observation
         return True
 
-    def outranking(self, mark: CrashObservation) -> CrashObservation | None:
-        """Return the mark that is known of the same content and life, if it says more."""
-        known = self._marks_by_content.get(mark.content, {}).get(mark.incarnation)
-        return known if known and _rank(known) > _rank(mark) else None
+    def outranking(self, observation: CrashObservation) -> CrashObservation | None:
+        """Return the known observation with the same key if it takes precedence, else None."""
+        known = self._by_content.get(observation.content, {}).get(observation.incarnation)
+        return known if known and _rank(known) > _rank(observation) else None
 
-    def drop(self, mark: CrashObservation) -> None:
-        """Forget a mark."""
-        marks = self._marks_by_content.get(mark.content, {})
-        if not marks.pop(mark.incarnation, None):
+    def drop(self, observation: CrashObservation) -> None:
+        """Remove the observation with this key, if there is one."""
+        by_incarnation = self._by_content.get(observation.content, {})
+        if not by_incarnation.pop(observation.incarnation, None):
             return
-        if not marks:
-            del self._marks_by_content[mark.content]
-        self._marks_by_life[mark.incarnation] -= 1
-        if not self._marks_by_life[mark.incarnation]:
-            del self._marks_by_life[mark.incarnation], self._moments[mark.incarnation]
-
-    def marks(self) -> Iterator[CrashObservation]:
-        """Return all marks."""
-        return (mark for marks in self._marks_by_content.values() for mark in marks.values())
+        if not by_incarnation:
+            del self._by_content[observation.content]
+        self._counts[observation.incarnation] -= 1
+        if not self._counts[observation.incarnation]:
+            del self._counts[observation.incarnation], self._detected_at[observation.incarnation]
+
+    def all(self) -> Iterator[CrashObservation]:
+        """Return all observations."""
+        return (
+            observation
+            for by_incarnation in self._by_content.values()
+            for observation in by_incarnation.values()
+        )
 
     @property
-    def moments(self) -> DetectionTimes:
-        """When which routers saw the ends, by all marks that were taken."""
-        return self._moments
+    def detection_times(self) -> DetectionTimes:
+        """When each router detected the crashes, from all observations ever merged."""
+        return self._detected_at
 
-    def marks_of(self, content: str) -> list[CrashObservation]:
-        """Return the marks of a content that are not cleared."""
-        marks = self._marks_by_content.get(content, {})
-        return [mark for mark in marks.values() if not mark.cleared]
+    def of_content(self, content: str) -> list[CrashObservation]:
+        """Return the observations of a content that are not cleared."""
+        by_incarnation = self._by_content.get(content, {})
+        return [observation for observation in by_incarnation.values() if not observation.cleared]
 
     def incarnations(self, content: str) -> frozenset[str]:
-        """Return the lives that ended with a content under way and not cleared of it."""
-        return frozenset(mark.incarnation for mark in self.marks_of(content))
+        """Return the incarnations that crashed with a content in flight and not cleared of it."""
+        return frozenset(observation.incarnation for observation in self.of_content(content))
 
 
-def supersedes(mark: CrashObservation, known: CrashObservation | None) -> bool:
-    """Return whether a mark says more than what is known of its content and life."""
-    return known is None or _rank(mark) > _rank(known)
+def supersedes(observation: CrashObservation, known: CrashObservation | None) -> bool:
+    """Return whether an observation takes precedence over the known one with the same key."""
+    return known is None or _rank(observation) > _rank(known)
 
 
-def _rank(mark: CrashObservation) -> tuple[int, float]:
-    """Return which of two marks of one content and life goes before the other."""
-    if mark.cleared:
+def _rank(observation: CrashObservation) -> tuple[int, float]:
+    """Return the precedence of an observation among those with the same key."""
+    if observation.cleared:
         return 2, 0.0
-    return (0 if mark.weak else 1), mark.elapsed_s
+    return (0 if observation.weak else 1), observation.elapsed_s
--- a/railtide/containment/placement.py
+++ b/railtide/containment/placement.py
@@ -1,69 +1,71 @@
-"""Where suspects run, so that the next end of an upstream tells who causes it. Pure.
+"""Places suspect contents on upstreams so that the next crash identifies its cause. No I/O.
 
-Each router works the same places out from what all of them know, without asking another. A content
-that was under way at two ends gets an upstream to which no other suspect is sent: if that one ends
-too, nobody else can be to blame, and until then whoever else is a suspect is out of its way. All
-copies of it, of whatever router, meet at that one upstream, so that those in flight at the third
-end take no fourth one with them.
+Each router computes the same placement from the shared observations, without asking another. A
+content with at least `ISOLATION_CRASHES` crashes gets an upstream to which no other suspect is
+sent: if that one crashes too, no other suspect can be the cause, and until then the other suspects
+stay clear of it. All copies of the content, from whichever router, are sent to that one upstream,
+so that copies in flight at the third crash don't take a fourth upstream down.
 
-One that was under way at a single end shares an upstream with others, but not with those, and all
-copies of it meet there too. So the suspects of one end are spread, and the second end already tells
-most of them apart; without, second tries go on together, and an end of a third upstream for another
-reason holds an innocent one.
+A suspect of a single crash shares an upstream with other such suspects, but not with the isolated
+ones, and all copies of it are sent there too. The suspects of one crash are thus spread, and the
+second crash distinguishes most of them. Without this, the retries of several suspects go to the
+same upstream, and a third crash for another reason holds an innocent content.
 """
 
 from collections.abc import Mapping, Sequence
 
 from railtide.membership.addresses import rendezvous_order
 
-__all__ = ["STRIKES_TO_PART", "places", "preferred_upstreams"]
+__all__ = ["ISOLATION_CRASHES", "dedicated_upstreams", "preferred_upstreams"]
 
-STRIKES_TO_PART = 2
-"""Ends from which on a content is kept apart from other suspects: one more decides."""
+ISOLATION_CRASHES = 2
+"""Number of crashes from which on a content is kept apart from other suspects: one more decides."""
 
 
-def places(strikes_by_content: Mapping[str, int], names: Sequence[str]) -> dict[str, str]:
-    """Return the upstream of each content that is kept apart.
+def dedicated_upstreams(
+    crash_count_by_content: Mapping[str, int], names: Sequence[str]
+) -> dict[str, str]:
+    """Return the upstream of each content that is isolated.
 
-    Each has one to itself as long as there are enough.
+    Each has an upstream of its own as long as there are enough.
 
     Examples
     --------
-    >>> made = places({"a": 2, "b": 2, "c": 1}, ["e1", "e2", "e3"])
-    >>> sorted(made), made["a"] != made["b"]
+    >>> chosen = dedicated_upstreams({"a": 2, "b": 2, "c": 1}, ["e1", "e2", "e3"])
+    >>> sorted(chosen), chosen["a"] != chosen["b"]
     (['a', 'b'], True)
     """
-    made: dict[str, str] = {}
+    upstream_by_content: dict[str, str] = {}
     free = list(names)
-    for content in sorted(strikes_by_content):
-        if strikes_by_content[content] < STRIKES_TO_PART or not names:
+    for content in sorted(crash_count_by_content):
+        if crash_count_by_content[content] < ISOLATION_CRASHES or not names:
             continue
         free = free or list(names)
-        made[content] = rendezvous_order(content, free)[0]
-        free.remove(made[content])
-    return made
+        upstream_by_content[content] = rendezvous_order(content, free)[0]
+        free.remove(upstream_by_content[content])
+    return upstream_by_content
 
 
 def preferred_upstreams(
-    content: str, strikes_by_content: Mapping[str, int], names: Sequence[str]
+    content: str, crash_count_by_content: Mapping[str, int], names: Sequence[str]
 ) -> frozenset[str]:
-    """Return the upstreams that a content had best run at: all for one that is no suspect.
+    """Return the upstreams to which a content should be sent: all if it is not a suspect.
 
     Examples
     --------
-    >>> strikes = {"a": 2, "c": 1}
-    >>> (place,) = preferred_upstreams("a", strikes, ["e1", "e2", "e3"])
-    >>> (other,) = preferred_upstreams("c", strikes, ["e1", "e2", "e3"])
-    >>> other != place
+    >>> crash_counts = {"a": 2, "c": 1}
+    >>> (isolated,) = preferred_upstreams("a", crash_counts, ["e1", "e2", "e3"])
+    >>> (shared,) = preferred_upstreams("c", crash_counts, ["e1", "e2", "e3"])
+    >>> shared != isolated
     True
-    >>> sorted(preferred_upstreams("new", strikes, ["e1", "e2"]))
+    >>> sorted(preferred_upstreams("new", crash_counts, ["e1", "e2"]))
     ['e1', 'e2']
     """
-    strikes = strikes_by_content.get(content, 0)
-    if not strikes or not names:
+    crash_count = crash_count_by_content.get(content, 0)
+    if not crash_count or not names:
         return frozenset(names)
-    made = places(strikes_by_content, names)
-    if content not in made:
-        others = [name for name in names if name not in made.values()] or list(names)
-        made[content] = rendezvous_order(content, others)[0]
-    return frozenset({made[content]})
+    upstream_by_content = dedicated_upstreams(crash_count_by_content, names)
+    if content not in upstream_by_content:
+        others = [name for name in names if name not in upstream_by_content.values()] or list(names)
+        upstream_by_content[content] = rendezvous_order(content, others)[0]
+    return frozenset({upstream_by_content[content]})
--- a/railtide/containment/records.py
+++ b/railtide/containment/records.py
@@ -1,4 +1,4 @@
-"""Marks as records of a keyed topic: one key for each, so that equal marks are one record."""
+"""Crash observations as records of a keyed topic: equal keys collapse into one record."""
 
 import re
 from hashlib import blake2b
@@ -10,41 +10,41 @@
 from railtide.containment.observations import CrashObservation
 from railtide.journal.keyed import KeyedRecord
 
-__all__ = ["incarnation_digest", "mark_of", "record_key", "record_value", "upstream_of"]
+__all__ = ["incarnation_digest", "observation_of", "record_key", "record_value", "upstream_of"]
 
-LIFE_BYTES = 8
-PURPOSE = b"life"
-KEY = re.compile(r"([0-9a-f]{32})/([0-9a-f]{16})", re.ASCII)
-MOST_UNIX_S = 1e11
-MOST_NAME = 128
+INCARNATION_DIGEST_BYTES = 8
+PERSONALIZATION = b"life"
+KEY_PATTERN = re.compile(r"([0-9a-f]{32})/([0-9a-f]{16})", re.ASCII)
+MAX_UNIX_S = 1e11
+MAX_NAME_LENGTH = 128
 
 
-class _Value(msgspec.Struct, array_like=True, frozen=True):
-    """What stands under a mark's key.
+class _RecordValue(msgspec.Struct, array_like=True, frozen=True):
+    """The value of an observation's record.
 
     Attributes
     ----------
     at : float
         Unix seconds.
     upstream, router : str
-        The upstream that ended, and who saw it, for people.
+        The upstream that crashed and the observing router, for operators.
     cleared, elapsed_s, weak
         See `CrashObservation`.
     """
 
-    at: Annotated[float, msgspec.Meta(ge=0, le=MOST_UNIX_S)]
-    upstream: Annotated[str, msgspec.Meta(max_length=MOST_NAME)]
-    router: Annotated[str, msgspec.Meta(max_length=MOST_NAME)]
+    at: Annotated[float, msgspec.Meta(ge=0, le=MAX_UNIX_S)]
+    upstream: Annotated[str, msgspec.Meta(max_length=MAX_NAME_LENGTH)]
+    router: Annotated[str, msgspec.Meta(max_length=MAX_NAME_LENGTH)]
     cleared: bool = False
-    elapsed_s: Annotated[float, msgspec.Meta(ge=0, le=MOST_UNIX_S)] = 0.0
+    elapsed_s: Annotated[float, msgspec.Meta(ge=0, le=MAX_UNIX_S)] = 0.0
     weak: bool = False
 
 
-_decoder = msgspec.msgpack.Decoder(_Value)
+_decoder = msgspec.msgpack.Decoder(_RecordValue)
 
 
 def incarnation_digest(incarnation: str) -> str:
-    """Return a name of bounded length for a life of an upstream.
+    """Return a name of bounded length for an incarnation of an upstream.
 
     Examples
     --------
@@ -53,46 +53,51 @@
     >>> incarnation_digest("i-1/17900") == incarnation_digest("i-1/17901")
     False
     """
-    return blake2b(incarnation.encode(), digest_size=LIFE_BYTES, person=PURPOSE).hexdigest()
+    return blake2b(
+        incarnation.encode(), digest_size=INCARNATION_DIGEST_BYTES, person=PERSONALIZATION
+    ).hexdigest()
 
 
-def record_key(mark: CrashObservation) -> str:
-    """Return the key of a mark: the same whoever saw it."""
-    return f"{mark.content}/{mark.incarnation}"
+def record_key(observation: CrashObservation) -> str:
+    """Return the key of an observation's record, which doesn't depend on the observing router."""
+    return f"{observation.content}/{observation.incarnation}"
 
 
-def record_value(mark: CrashObservation, upstream: str) -> bytes:
-    """Return what stands under it."""
-    names = upstream[:MOST_NAME], mark.router[:MOST_NAME]
-    value = _Value(mark.at, *names, mark.cleared, mark.elapsed_s, mark.weak)
+def record_value(observation: CrashObservation, upstream: str) -> bytes:
+    """Return the encoded value of an observation's record."""
+    names = upstream[:MAX_NAME_LENGTH], observation.router[:MAX_NAME_LENGTH]
+    value = _RecordValue(
+        observation.at, *names, observation.cleared, observation.elapsed_s, observation.weak
+    )
     return msgspec.msgpack.encode(value)
 
 
 def upstream_of(record: KeyedRecord) -> str:
-    """Return the name of the upstream that ended, of a mark's record."""
+    """Return the name of the upstream that crashed, from an observation's record."""
     return _decoder.decode(record.value).upstream
 
 
-def mark_of(record: KeyedRecord) -> CrashObservation:
-    """Return the mark in a record.
+def observation_of(record: KeyedRecord) -> CrashObservation:
+    """Decode the observation in a record.
 
     Raises
     ------
     InvalidObject
-        It is another writer's.
+        The record is not an observation's; something else wrote it.
 
     Examples
     --------
-    >>> mark = CrashObservation("c" * 32, "a" * 16, at=5.0, router="r1")
-    >>> mark_of(KeyedRecord(record_key(mark), record_value(mark, "i-1"), 0)) == mark
+    >>> observation = CrashObservation("c" * 32, "a" * 16, at=5.0, router="r1")
+    >>> key, value = record_key(observation), record_value(observation, "i-1")
+    >>> observation_of(KeyedRecord(key, value, 0)) == observation
     True
     """
-    found = KEY.fullmatch(record.key)
+    found = KEY_PATTERN.fullmatch(record.key)
     if not found:
-        raise InvalidObject("the key is no mark's")
+        raise InvalidObject("the key is not that of a crash observation")
     try:
         value = _decoder.decode(record.value)
     except (msgspec.DecodeError, RecursionError) as err:
         raise InvalidObject(str(err)) from err
-    seen = value.at, value.cleared, value.elapsed_s, value.weak, value.router
-    return CrashObservation(found[1], found[2], *seen)
+    fields = value.at, value.cleared, value.elapsed_s, value.weak, value.router
+    return CrashObservation(found[1], found[2], *fields)
--- a/railtide/containment/tests/test_content.py
+++ b/railtide/containment/tests/test_content.py
@@ -10,13 +10,13 @@
 
 class TestContentDigest:
     @given(CONTENTS, CONTENTS)
-    def test_it_is_the_same_for_the_same_path_account_and_body_only(self, one, other) -> None:
+    def test_equal_only_for_equal_account_path_and_body(self, one, other) -> None:
         assert (content_digest(*one) == content_digest(*other)) == (one == other)
 
-    def test_parts_do_not_run_into_each_other(self) -> None:
+    def test_part_boundaries_are_significant(self) -> None:
         assert content_digest("ab", "c", b"") != content_digest("a", "bc", b"")
 
-    def test_nothing_of_the_body_is_in_it(self) -> None:
+    def test_digest_does_not_contain_the_body(self) -> None:
         digest = content_digest("a", "/p", b"secret " * 1000)
         assert len(digest) == 32
         assert set(digest) <= set("0123456789abcdef")
--- a/railtide/containment/tests/test_guard.py
+++ b/railtide/containment/tests/test_guard.py
@@ -5,7 +5,7 @@
 
 from railtide.containment.crash_detection import CrashDetector, ProbeResult
 from railtide.containment.errors import ContentHeld
-from railtide.containment.guard import JUDGED_S, SURVIVED_S, CrashGuard
+from railtide.containment.guard import SURVIVAL_S, VERDICT_SETTLE_S, CrashGuard
 from railtide.containment.tests.test_registry import BAD, GOOD, Fleet
 from railtide.membership.instances import Instance
 
@@ -15,30 +15,32 @@
 
 
 def guard_of(fleet: Fleet) -> CrashGuard:
-    watch = CrashDetector(refused, lambda instance, breaks: None, fleet.nursery.start_soon)
-    return CrashGuard(fleet.registries[0], watch)
+    detector = CrashDetector(
+        refused, lambda instance, broken_attempts: None, fleet.nursery.start_soon
+    )
+    return CrashGuard(fleet.registries[0], detector)
 
 
-class TestStop:
+class TestCancelAttempts:
     """Runs of a content that comes to be held."""
 
     @pytest.mark.parametrize(
-        ("head_before_s", "stopped"), [(None, True), (SURVIVED_S / 2, True), (SURVIVED_S, False)]
+        ("head_before_s", "stopped"), [(None, True), (SURVIVAL_S / 2, True), (SURVIVAL_S, False)]
     )
-    async def test_one_that_an_upstream_has_had_for_a_while_goes_on(
+    async def test_attempt_that_its_upstream_has_run_for_a_while_goes_on(
         self, nursery, autojump_clock, head_before_s: float | None, stopped: bool
     ) -> None:
         fleet = Fleet(nursery)
         guard = guard_of(fleet)
-        await fleet.end("i-0", BAD)
-        await fleet.end("i-1", BAD)
+        await fleet.crash("i-0", BAD)
+        await fleet.crash("i-1", BAD)
         now = trio.current_time()
         head_at = None if head_before_s is None else now - head_before_s
         with (
             guard.cancel_scope_for(BAD, lambda: head_at) as run,
             guard.cancel_scope_for(GOOD, lambda: None) as other,
         ):
-            fleet.registries[0].note_crash("i-2", "i-2", fleet.breaks_of([BAD], 0.06))
+            fleet.registries[0].note_crash("i-2", "i-2", fleet.broken_attempts_of([BAD], 0.06))
             assert run.cancel_called is stopped
             assert not other.cancel_called
 
@@ -50,42 +52,40 @@
     `content-released` of two routers, 7 ms apart. Cause: a verdict was acted on before all who saw
     the same end could be heard."""
 
-    async def test_innocent_content_waits_for_the_marks_of_others(
+    async def test_innocent_content_waits_for_the_observations_of_others(
         self, nursery, autojump_clock
     ) -> None:
         fleet = Fleet(nursery)
         guard = guard_of(fleet)
-        await fleet.end("i-0", BAD)
-        await fleet.end("i-1", GOOD)
-        await fleet.end("i-2", GOOD, BAD)
-        await fleet.end("i-3", BAD, begun_s=2.0)
-        fleet.store.delay_s = JUDGED_S / 4
-        nursery.start_soon(fleet.end, "i-4", GOOD)
+        await fleet.crash("i-0", BAD)
+        await fleet.crash("i-1", GOOD)
+        await fleet.crash("i-2", GOOD, BAD)
+        await fleet.crash("i-3", BAD, elapsed_s=2.0)
+        fleet.store.delay_s = VERDICT_SETTLE_S / 4
+        nursery.start_soon(fleet.crash, "i-4", GOOD)
         await trio.sleep(0.001)
         assert all(fleet.refused(GOOD)[:1])
-        fleet.registries[1].note_crash("i-4", "i-4", fleet.breaks_of([BAD], 0.06))
+        fleet.registries[1].note_crash("i-4", "i-4", fleet.broken_attempts_of([BAD], 0.06))
         await guard.check(GOOD)
         with pytest.raises(ContentHeld):
             await guard.check(BAD)
 
-    async def test_content_that_stays_held_is_refused_soon_and_then_at_once(
+    async def test_held_content_is_refused_soon_and_then_immediately(
         self, nursery, autojump_clock
     ) -> None:
         fleet = Fleet(nursery)
         guard = guard_of(fleet)
         for number in range(2):
-            await fleet.end(f"i-{number}", BAD)
-        nursery.start_soon(fleet.end, "i-2", BAD)
+            await fleet.crash(f"i-{number}", BAD)
+        nursery.start_soon(fleet.crash, "i-2", BAD)
         await trio.sleep(0.001)
-        for most_s in (JUDGED_S, 0.0):
+        for most_s in (VERDICT_SETTLE_S, 0.0):
             began = trio.current_time()
             with pytest.raises(ContentHeld):
                 await guard.check(BAD)
             assert trio.current_time() - began <= most_s
 
-    async def test_content_that_is_not_held_waits_for_nothing(
-        self, nursery, autojump_clock
-    ) -> None:
+    async def test_content_that_is_not_held_does_not_wait(self, nursery, autojump_clock) -> None:
         fleet = Fleet(nursery)
         began = trio.current_time()
         await guard_of(fleet).check(GOOD)
--- a/railtide/containment/tests/test_interleavings.py
+++ b/railtide/containment/tests/test_interleavings.py
@@ -25,13 +25,13 @@
 ROUTERS = 3
 UPSTREAMS = 5
 BAD = "b" * 32
-HEARD_S = 3.0
-MOST_ENDS = 3
-BEGUN_S = 0.06
+PROPAGATION_S = 3.0
+MAX_CRASHES = 3
+CRASH_AFTER_S = 0.06
 """Behind which an upstream ends under the bad content."""
 START_S = 0.1
 """A start reads the marks before it serves."""
-MOST_TIMES = 3
+MAX_SENDS = 3
 """That an innocent content comes: its first time, a second try, and its caller's own."""
 
 STEPS = st.one_of(
@@ -67,14 +67,14 @@
     )
     runs: list[Run] = field(default_factory=list)
     broken: list[str] = field(default_factory=list)
-    times_by_content: dict[str, int] = field(default_factory=dict)
+    sends_by_content: dict[str, int] = field(default_factory=dict)
     ends: int = 0
-    heard: bool = True
-    numbers: Iterator[int] = field(default_factory=count)
+    propagated: bool = True
+    counter: Iterator[int] = field(default_factory=count)
 
     def start(self, router: int) -> None:
         registry = CrashRegistry(
-            self.store, f"r{router}", Random(1), Counters(), day_s=trio.current_time
+            self.store, f"r{router}", Random(1), Counters(), unix_time_s=trio.current_time
         )
         scope = trio.CancelScope()
         if router < len(self.registries):
@@ -95,17 +95,19 @@
 
     def _place(self, router: int, content: str) -> str:
         names = sorted(self.life_by_upstream)
-        strikes = self.registries[router].suspect_crash_counts(content)
-        chosen = sorted(preferred_upstreams(content, strikes, names)) if strikes else names
-        return chosen[next(self.numbers) % len(chosen)]
+        crash_counts = self.registries[router].suspect_crash_counts(content)
+        chosen = (
+            sorted(preferred_upstreams(content, crash_counts, names)) if crash_counts else names
+        )
+        return chosen[next(self.counter) % len(chosen)]
 
     async def bad(self, router: int) -> None:
         """Send the bad content from a router, unless it is refused there."""
         if self.registries[router].refusal_of(BAD):
             return
-        assert not (self.heard and self.ends >= MOST_ENDS), "sent on though all had heard"
+        assert not (self.propagated and self.ends >= MAX_CRASHES), "sent on though all had heard"
         upstream = self._place(router, BAD)
-        await trio.sleep(BEGUN_S)
+        await trio.sleep(CRASH_AFTER_S)
         self._end(upstream, Run(BAD, router, upstream))
 
     def _end(self, upstream: str, cause: Run) -> None:
@@ -113,25 +115,25 @@
         self.runs = [run for run in self.runs if run.upstream != upstream]
         for router, registry in enumerate(self.registries):
             now = trio.current_time()
-            breaks = [
-                BrokenAttempt(UpstreamAttempt(run.content, now - BEGUN_S), now)
+            broken_attempts = [
+                BrokenAttempt(UpstreamAttempt(run.content, now - CRASH_AFTER_S), now)
                 for run in under_way
                 if run.router == router
             ]
-            if breaks:
-                registry.note_crash(self._life(upstream), upstream, breaks)
+            if broken_attempts:
+                registry.note_crash(self._life(upstream), upstream, broken_attempts)
         self.broken += [run.content for run in under_way if run is not cause]
         self.life_by_upstream[upstream] += 1
         self.ends += 1
-        self.heard = False
+        self.propagated = False
 
     def innocent(self, router: int, content: str = "") -> None:
         """Begin another content at a router."""
-        content = content or f"{next(self.numbers):032x}"
-        times = self.times_by_content.get(content, 0)
-        if times >= MOST_TIMES:
+        content = content or f"{next(self.counter):032x}"
+        times = self.sends_by_content.get(content, 0)
+        if times >= MAX_SENDS:
             return
-        self.times_by_content[content] = times + 1
+        self.sends_by_content[content] = times + 1
         assert not self.registries[router].refusal_of(content), "an innocent content is refused"
         self.runs.append(Run(content, router, self._place(router, content)))
 
@@ -148,17 +150,17 @@
 
     async def restart(self, router: int) -> None:
         """Kill a router and start another: what it had under way and not written is lost."""
-        if not self.heard:
+        if not self.propagated:
             return
         self.runs = [run for run in self.runs if run.router != router]
         self.start(router)
         await trio.sleep(START_S)
-        self.heard = not self.store.down
+        self.propagated = not self.store.down
 
     async def hear(self, _: int = 0) -> None:
         """Let some time pass, in which routers hear of each other if the store is there."""
-        await trio.sleep(HEARD_S)
-        self.heard = self.heard or not (self.store.down or self.store.late_appends)
+        await trio.sleep(PROPAGATION_S)
+        self.propagated = self.propagated or not (self.store.down or self.store.late_appends)
 
     async def step(self, name: str, router: int) -> None:
         if name == "hear":
@@ -181,7 +183,7 @@
             assert registry.held <= {BAD}, "an innocent content is held"
 
 
-def play(steps: list[tuple[str, int]], hears_each: bool = False) -> Model:
+def play(steps: list[tuple[str, int]], propagate_each: bool = False) -> Model:
     """Play steps and return what the model is then."""
     played: list[Model] = []
 
@@ -193,7 +195,7 @@
             await trio.sleep(0.1)
             for name, router in steps:
                 await model.step(name, router)
-                if hears_each:
+                if propagate_each:
                     await model.hear()
                 model.check()
             model.store.down = False
@@ -213,7 +215,9 @@
 class TestInterleavings:
     @settings(max_examples=300)
     @given(st.lists(STEPS, min_size=4, max_size=30))
-    def test_both_promises_hold(self, steps: list[tuple[str, int]]) -> None:
+    def test_bad_content_is_contained_and_no_other_is_held(
+        self, steps: list[tuple[str, int]]
+    ) -> None:
         play(steps)
 
     @settings(max_examples=100)
@@ -227,7 +231,7 @@
             max_size=30,
         )
     )
-    def test_three_ends_and_no_more_where_each_is_heard_of(
+    def test_at_most_three_crashes_if_each_is_propagated(
         self, steps: list[tuple[str, int]]
     ) -> None:
-        assert play(steps, hears_each=True).ends <= MOST_ENDS
+        assert play(steps, propagate_each=True).ends <= MAX_CRASHES
--- a/railtide/containment/tests/test_observations.py
+++ b/railtide/containment/tests/test_observations.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from railtide.containment.holding import HOLD_S, KEEP_S, held_until, surplus
+from railtide.containment.holding import BASE_HOLD_S, RETENTION_S, held_until, surplus_observations
 from railtide.containment.observations import CrashObservation, ObservationSet
 
 MARKS = st.builds(
@@ -17,101 +17,112 @@
 )
 
 
-def taken(marks: list[CrashObservation]) -> dict[str, frozenset[str]]:
-    evidence = ObservationSet()
-    for mark in marks:
-        evidence.add(mark)
-    contents = {mark.content for mark in evidence.marks()}
+def merged(observations: list[CrashObservation]) -> dict[str, frozenset[str]]:
+    observation_set = ObservationSet()
+    for observation in observations:
+        observation_set.add(observation)
+    contents = {observation.content for observation in observation_set.all()}
     return {
-        content: evidence.incarnations(content)
+        content: observation_set.incarnations(content)
         for content in contents
-        if evidence.incarnations(content)
+        if observation_set.incarnations(content)
     }
 
 
-class TestEvidence:
+class TestObservationSet:
     @given(st.lists(MARKS, max_size=8), st.randoms(use_true_random=False))
-    def test_order_and_repeats_change_nothing(self, marks: list[CrashObservation], rng) -> None:
-        shuffled = [*marks, *marks[: len(marks) // 2]]
+    def test_order_and_repeats_change_nothing(
+        self, observations: list[CrashObservation], rng
+    ) -> None:
+        shuffled = [*observations, *observations[: len(observations) // 2]]
         rng.shuffle(shuffled)
-        assert taken(shuffled) == taken(marks)
+        assert merged(shuffled) == merged(observations)
 
-    def test_one_life_counts_once_whoever_saw_it(self) -> None:
-        assert taken([CrashObservation("a", "1", 1.0), CrashObservation("a", "1", 1.2)]) == {
+    def test_one_incarnation_counts_once_whoever_saw_it(self) -> None:
+        assert merged([CrashObservation("a", "1", 1.0), CrashObservation("a", "1", 1.2)]) == {
             "a": {"1"}
         }
 
-    def test_cleared_mark_stays_cleared(self) -> None:
+    def test_cleared_observation_stays_cleared(self) -> None:
         cleared = CrashObservation("a", "1", 1.0, cleared=True)
-        assert taken(
+        assert merged(
             [cleared, CrashObservation("a", "1", 1.0), CrashObservation("a", "2", 1.0)]
         ) == {"a": {"2"}}
 
-    def test_mark_that_is_not_weak_goes_before_one_that_is(self) -> None:
+    def test_strong_observation_takes_precedence_over_a_weak_one(self) -> None:
         weak, strong = CrashObservation("a", "1", 1.0, weak=True), CrashObservation("a", "1", 1.0)
         for order in ([weak, strong], [strong, weak]):
-            evidence = ObservationSet()
-            for mark in order:
-                evidence.add(mark)
-            assert evidence.marks_of("a") == [strong]
+            observation_set = ObservationSet()
+            for observation in order:
+                observation_set.add(observation)
+            assert observation_set.of_content("a") == [strong]
 
-    def test_longest_run_stays_whoever_saw_it(self) -> None:
+    def test_longest_attempt_is_kept_whoever_saw_it(self) -> None:
         runs = [
             CrashObservation("a", "1", 1.0 + n, elapsed_s=elapsed_s)
             for n, elapsed_s in enumerate((0.1, 0.3, 0.2))
         ]
         for order in permutations(runs):
-            evidence = ObservationSet()
-            for mark in order:
-                evidence.add(mark)
-            assert evidence.marks_of("a") == [runs[1]]
+            observation_set = ObservationSet()
+            for observation in order:
+                observation_set.add(observation)
+            assert observation_set.of_content("a") == [runs[1]]
 
-    def test_each_router_tells_when_it_saw_an_end(self) -> None:
-        evidence = ObservationSet()
+    def test_detection_times_are_kept_for_each_router(self) -> None:
+        observation_set = ObservationSet()
         for router, at in [("r0", 1.0), ("r1", 1.1), ("r0", 1.2), ("r0", 0.9)]:
-            evidence.add(CrashObservation("a", "1", at, router=router))
-        assert evidence.moments == {"1": {"r0": 0.9, "r1": 1.1}}
-
-    def test_moments_go_with_the_last_mark_of_a_life(self) -> None:
-        evidence = ObservationSet()
-        marks = [CrashObservation(content, "1", 1.0) for content in "ab"]
-        for mark in marks:
-            evidence.add(mark)
-        evidence.drop(marks[0])
-        evidence.drop(marks[0])
-        assert evidence.moments
-        evidence.drop(marks[1])
-        assert not evidence.moments
-
-    def test_forgotten_mark_is_gone(self) -> None:
-        evidence = ObservationSet()
-        evidence.add(CrashObservation("a", "1", 1.0))
-        evidence.drop(CrashObservation("a", "1", 1.0))
-        assert "a" not in evidence
-        assert len(evidence) == 0
+            observation_set.add(CrashObservation("a", "1", at, router=router))
+        assert observation_set.detection_times == {"1": {"r0": 0.9, "r1": 1.1}}
+
+    def test_detection_times_are_dropped_with_the_last_observation(self) -> None:
+        observation_set = ObservationSet()
+        observations = [CrashObservation(content, "1", 1.0) for content in "ab"]
+        for observation in observations:
+            observation_set.add(observation)
+        observation_set.drop(observations[0])
+        observation_set.drop(observations[0])
+        assert observation_set.detection_times
+        observation_set.drop(observations[1])
+        assert not observation_set.detection_times
+
+    def test_dropped_observation_is_removed(self) -> None:
+        observation_set = ObservationSet()
+        observation_set.add(CrashObservation("a", "1", 1.0))
+        observation_set.drop(CrashObservation("a", "1", 1.0))
+        assert "a" not in observation_set
+        assert len(observation_set) == 0
 
 
 class TestHolding:
-    def test_each_trial_waits_longer_and_the_third_is_the_last(self) -> None:
-        marks = [CrashObservation("c", str(number), 10.0 * number) for number in range(7)]
-        waits = [held_until(marks[:ends], now=60.0) - marks[ends - 1].at for ends in range(3, 8)]
-        assert waits == [HOLD_S, 4 * HOLD_S, 16 * HOLD_S, KEEP_S, KEEP_S]
+    def test_hold_grows_with_each_trial_and_the_third_is_the_last(self) -> None:
+        observations = [CrashObservation("c", str(number), 10.0 * number) for number in range(7)]
+        waits = [
+            held_until(observations[:ends], now=60.0) - observations[ends - 1].at
+            for ends in range(3, 8)
+        ]
+        assert waits == [BASE_HOLD_S, 4 * BASE_HOLD_S, 16 * BASE_HOLD_S, RETENTION_S, RETENTION_S]
 
-    def test_marks_live_long_enough_for_the_trials(self) -> None:
-        marks = [CrashObservation("c", str(number), 0.0) for number in range(5)]
-        assert sum(held_until(marks[:ends], now=0.0) for ends in (3, 4, 5)) <= KEEP_S
+    def test_retention_covers_the_trials(self) -> None:
+        observations = [CrashObservation("c", str(number), 0.0) for number in range(5)]
+        assert sum(held_until(observations[:ends], now=0.0) for ends in (3, 4, 5)) <= RETENTION_S
 
-    def test_beyond_the_bound_those_that_say_least_go(self) -> None:
-        evidence = ObservationSet()
+    def test_beyond_the_bound_those_with_least_evidence_are_dropped(self) -> None:
+        observation_set = ObservationSet()
         for number in range(10):
-            evidence.add(CrashObservation(f"once {number}", "1", float(number)))
-        for life in "123":
-            evidence.add(CrashObservation("bad", life, 0.0))
-        forgotten = {mark.content for mark in surplus(evidence, now=10.0, most=4)}
+            observation_set.add(CrashObservation(f"once {number}", "1", float(number)))
+        for incarnation in "123":
+            observation_set.add(CrashObservation("bad", incarnation, 0.0))
+        forgotten = {
+            observation.content
+            for observation in surplus_observations(observation_set, now=10.0, max_contents=4)
+        }
         assert forgotten == {f"once {number}" for number in range(7)}
 
-    def test_cleared_ones_go_first(self) -> None:
-        evidence = ObservationSet()
-        evidence.add(CrashObservation("cleared", "1", 5.0, cleared=True))
-        evidence.add(CrashObservation("suspect", "1", 1.0))
-        assert [mark.content for mark in surplus(evidence, 6.0, most=1)] == ["cleared"]
+    def test_cleared_observations_are_dropped_first(self) -> None:
+        observation_set = ObservationSet()
+        observation_set.add(CrashObservation("cleared", "1", 5.0, cleared=True))
+        observation_set.add(CrashObservation("suspect", "1", 1.0))
+        assert [
+            observation.content
+            for observation in surplus_observations(observation_set, 6.0, max_contents=1)
+        ] == ["cleared"]
--- a/railtide/containment/tests/test_placement.py
+++ b/railtide/containment/tests/test_placement.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from railtide.containment.placement import places, preferred_upstreams
+from railtide.containment.placement import dedicated_upstreams, preferred_upstreams
 
 NAMES = [f"e{number}" for number in range(5)]
 STRIKES = st.dictionaries(st.sampled_from("abcdefgh"), st.integers(1, 4), max_size=8)
@@ -13,46 +13,54 @@
 
 class TestPlacement:
     @given(STRIKES, st.permutations(NAMES))
-    def test_routers_that_know_the_same_choose_the_same(
-        self, strikes: dict[str, int], names: list[str]
+    def test_routers_with_equal_observations_choose_equally(
+        self, crash_counts: dict[str, int], names: list[str]
     ) -> None:
-        assert places(strikes, names) == places(dict(reversed(strikes.items())), NAMES)
+        assert dedicated_upstreams(crash_counts, names) == dedicated_upstreams(
+            dict(reversed(crash_counts.items())), NAMES
+        )
 
     @given(STRIKES)
-    def test_no_two_share_an_upstream_while_there_are_enough(self, strikes: dict[str, int]) -> None:
-        made = places(strikes, NAMES)
-        apart = [content for content, count in strikes.items() if count >= 2]
-        assert set(made) == set(apart)
+    def test_isolated_contents_share_no_upstream_while_there_are_enough(
+        self, crash_counts: dict[str, int]
+    ) -> None:
+        upstream_by_content = dedicated_upstreams(crash_counts, NAMES)
+        apart = [content for content, count in crash_counts.items() if count >= 2]
+        assert set(upstream_by_content) == set(apart)
         if len(apart) <= len(NAMES):
-            assert len(set(made.values())) == len(apart)
+            assert len(set(upstream_by_content.values())) == len(apart)
 
     @given(STRIKES)
-    def test_a_suspect_of_one_end_is_out_of_the_way(self, strikes: dict[str, int]) -> None:
-        strikes = strikes | {"x": 1}
-        taken = set(places(strikes, NAMES).values())
-        chosen = preferred_upstreams("x", strikes, NAMES)
+    def test_suspect_of_one_crash_avoids_isolated_contents(
+        self, crash_counts: dict[str, int]
+    ) -> None:
+        crash_counts = crash_counts | {"x": 1}
+        merged = set(dedicated_upstreams(crash_counts, NAMES).values())
+        chosen = preferred_upstreams("x", crash_counts, NAMES)
         assert chosen
-        assert taken == set(NAMES) or not chosen & taken
+        assert merged == set(NAMES) or not chosen & merged
 
     @given(STRIKES)
-    def test_all_copies_of_a_suspect_meet(self, strikes: dict[str, int]) -> None:
-        for content in strikes:
-            chosen = preferred_upstreams(content, strikes, NAMES)
+    def test_all_copies_of_a_suspect_go_to_one_upstream(self, crash_counts: dict[str, int]) -> None:
+        for content in crash_counts:
+            chosen = preferred_upstreams(content, crash_counts, NAMES)
             assert len(chosen) == 1
-            assert preferred_upstreams(content, strikes, NAMES[::-1]) == chosen
+            assert preferred_upstreams(content, crash_counts, NAMES[::-1]) == chosen
 
-    def test_suspects_of_one_end_go_apart(self) -> None:
+    def test_suspects_of_one_crash_are_spread(self) -> None:
         """Story. A read and a bad content were at one end; the second tries of both went to the
         same upstream at once, and a third end, a kill, held the read."""
-        strikes = {f"{number:032x}": 1 for number in range(40)}
-        beside = Counter(name for c in strikes for name in preferred_upstreams(c, strikes, NAMES))
+        crash_counts = {f"{number:032x}": 1 for number in range(40)}
+        beside = Counter(
+            name for c in crash_counts for name in preferred_upstreams(c, crash_counts, NAMES)
+        )
         assert set(beside) == set(NAMES)
-        assert max(beside.values()) <= len(strikes) / 2
+        assert max(beside.values()) <= len(crash_counts) / 2
 
-    def test_the_innocent_go_anywhere(self) -> None:
+    def test_other_contents_go_to_any_upstream(self) -> None:
         assert preferred_upstreams("x", {"a": 2, "b": 2}, NAMES) == set(NAMES)
 
-    def test_without_upstreams_there_is_no_place(self) -> None:
-        assert places({"a": 2}, []) == {}
-        for strikes in (1, 2):
-            assert preferred_upstreams("a", {"a": strikes}, []) == frozenset()
+    def test_without_upstreams_nothing_is_placed(self) -> None:
+        assert dedicated_upstreams({"a": 2}, []) == {}
+        for crash_counts in (1, 2):
+            assert preferred_upstreams("a", {"a": crash_counts}, []) == frozenset()
--- a/railtide/containment/tests/test_registry.py
+++ b/railtide/containment/tests/test_registry.py
@@ -12,10 +12,10 @@
     ProbeResult,
     UpstreamAttempt,
 )
-from railtide.containment.holding import HOLD_S, KEEP_S
+from railtide.containment.holding import BASE_HOLD_S, RETENTION_S
 from railtide.containment.observations import CrashObservation
-from railtide.containment.records import mark_of, record_key, record_value, upstream_of
-from railtide.containment.registry import AHEAD_S, TOPIC, CrashRegistry
+from railtide.containment.records import observation_of, record_key, record_value, upstream_of
+from railtide.containment.registry import MAX_CLOCK_LEAD_S, TOPIC, CrashRegistry
 from railtide.membership.instances import Instance
 from railtide.standins.keyed_store import MemoryStore
 from railtide.telemetry.counters import Counters
@@ -23,7 +23,7 @@
 BAD = "b" * 32
 GOOD = "a" * 32
 OTHER = "c" * 32
-KNOWN_S = 3.0
+PROPAGATION_S = 3.0
 
 
 class Fleet:
@@ -32,7 +32,7 @@
     def __init__(self, nursery: trio.Nursery, routers: int = 2) -> None:
         self.store = MemoryStore(era=1)
         self.nursery = nursery
-        self.day_s = 1_790_000_000.0
+        self.unix_time_s = 1_790_000_000.0
         self.owner = "r0"
         self.registries = [self.start(f"r{number}") for number in range(routers)]
 
@@ -44,21 +44,27 @@
             Random(1),
             Counters(),
             lambda content: name == self.owner,
-            lambda: self.day_s + trio.current_time(),
+            lambda: self.unix_time_s + trio.current_time(),
         )
         self.nursery.start_soon(registry.run)
         return registry
 
-    async def end(self, life: str, *contents: str, seen_by: int = 0, begun_s: float = 0.06) -> None:
+    async def crash(
+        self, incarnation: str, *contents: str, seen_by: int = 0, elapsed_s: float = 0.06
+    ) -> None:
         """Have a router see the end of a life and let all know."""
-        self.registries[seen_by].note_crash(life, life, self.breaks_of(contents, begun_s))
-        await trio.sleep(KNOWN_S)
+        self.registries[seen_by].note_crash(
+            incarnation, incarnation, self.broken_attempts_of(contents, elapsed_s)
+        )
+        await trio.sleep(PROPAGATION_S)
 
     @staticmethod
-    def breaks_of(contents: Iterable[str], begun_s: float) -> list[BrokenAttempt]:
+    def broken_attempts_of(contents: Iterable[str], elapsed_s: float) -> list[BrokenAttempt]:
         """Return runs that began so long ago and break off now."""
         now = trio.current_time()
-        return [BrokenAttempt(UpstreamAttempt(content, now - begun_s), now) for content in contents]
+        return [
+            BrokenAttempt(UpstreamAttempt(content, now - elapsed_s), now) for content in contents
+        ]
 
     def refused(self, content: str) -> list[bool]:
         return [registry.refusal_of(content) is not None for registry in self.registries]
@@ -71,32 +77,32 @@
 
 
 class TestAllRouters:
-    async def test_third_end_holds_at_all_whoever_saw_which(
+    async def test_third_crash_holds_at_all_routers_whoever_saw_which(
         self, nursery, autojump_clock, lines
     ) -> None:
         fleet = Fleet(nursery, routers=3)
         for number in range(3):
             assert not any(fleet.refused(BAD))
-            await fleet.end(f"i-{number}", BAD, seen_by=number)
+            await fleet.crash(f"i-{number}", BAD, seen_by=number)
         assert all(fleet.refused(BAD))
         held = [line for line in lines if line["event"] == "content-held"]
         assert [(line["content"], line["ends"]) for line in held] == [(BAD, 3)] * 3
 
-    async def test_one_that_starts_later_knows(self, nursery, autojump_clock) -> None:
+    async def test_router_that_starts_later_knows(self, nursery, autojump_clock) -> None:
         fleet = Fleet(nursery)
         for number in range(3):
-            await fleet.end(f"i-{number}", BAD)
+            await fleet.crash(f"i-{number}", BAD)
         later = fleet.start("r9")
-        await trio.sleep(KNOWN_S)
+        await trio.sleep(PROPAGATION_S)
         assert later.refusal_of(BAD)
 
     async def test_dropped_history_changes_nothing(self, nursery, autojump_clock) -> None:
         fleet = Fleet(nursery)
         for number in range(3):
-            await fleet.end(f"i-{number}", BAD)
+            await fleet.crash(f"i-{number}", BAD)
             fleet.store.topic(TOPIC).forget()
         later = fleet.start("r9")
-        await trio.sleep(KNOWN_S)
+        await trio.sleep(PROPAGATION_S)
         assert later.refusal_of(BAD)
         assert all(fleet.refused(BAD))
 
@@ -104,347 +110,357 @@
         fleet = Fleet(nursery)
         fleet.store.lose_answers = 5
         for number in range(3):
-            await fleet.end(f"i-{number}", BAD, seen_by=number % 2)
+            await fleet.crash(f"i-{number}", BAD, seen_by=number % 2)
         assert all(fleet.refused(BAD))
 
     async def test_late_writes_count_once(self, nursery, autojump_clock) -> None:
         fleet = Fleet(nursery)
         fleet.store.late_appends = 2
-        await fleet.end("i-1", BAD)
-        await fleet.end("i-2", BAD, seen_by=1)
+        await fleet.crash("i-1", BAD)
+        await fleet.crash("i-2", BAD, seen_by=1)
         fleet.store.do_late()
-        await trio.sleep(KNOWN_S)
+        await trio.sleep(PROPAGATION_S)
         assert not any(fleet.refused(BAD))
 
-    async def test_own_ends_hold_while_the_store_is_away_and_all_know_after(
+    async def test_own_crashes_hold_during_an_outage_and_are_shared_after_it(
         self, nursery, autojump_clock
     ) -> None:
         fleet = Fleet(nursery)
         fleet.store.down = True
         for number in range(3):
-            await fleet.end(f"i-{number}", BAD)
+            await fleet.crash(f"i-{number}", BAD)
         assert fleet.refused(BAD) == [True, False]
         fleet.store.down = False
-        await trio.sleep(KNOWN_S)
+        await trio.sleep(PROPAGATION_S)
         assert all(fleet.refused(BAD))
 
-    async def test_request_that_was_near_no_end_costs_no_write(
-        self, nursery, autojump_clock
-    ) -> None:
+    async def test_content_without_a_crash_costs_no_write(self, nursery, autojump_clock) -> None:
         fleet = Fleet(nursery)
-        await trio.sleep(KNOWN_S)
+        await trio.sleep(PROPAGATION_S)
         end = fleet.store.topic(TOPIC).end
         for number in range(100):
             content = f"{number:032x}"
             assert fleet.registries[0].refusal_of(content) is None
             fleet.registries[0].note_completed(content)
-        await trio.sleep(KNOWN_S)
+        await trio.sleep(PROPAGATION_S)
         assert fleet.store.topic(TOPIC).end == end
 
-    async def test_foreign_records_are_passed_over(self, nursery, autojump_clock, lines) -> None:
+    async def test_foreign_records_are_ignored(self, nursery, autojump_clock, lines) -> None:
         fleet = Fleet(nursery)
         for key, value in [("x", b"y"), (f"{BAD}/{'0' * 16}", b"\xff"), (f"{BAD}/zz", b"")]:
             fleet.store.put(TOPIC, key, value)
         for number in range(3):
-            await fleet.end(f"i-{number}", BAD)
+            await fleet.crash(f"i-{number}", BAD)
         assert all(fleet.refused(BAD))
         assert [line["event"] for line in lines].count("mark-unreadable") == 2
 
 
-class TestLongestRun:
+class TestLongestAttempt:
     """Of a content's runs at one life the one that was there for longest tells most."""
 
     @pytest.mark.parametrize("first", [0, 1])
-    async def test_it_stays_in_the_store_whoever_writes_last(
+    async def test_it_remains_in_the_store_whoever_writes_last(
         self, nursery, autojump_clock, first: int
     ) -> None:
         fleet = Fleet(nursery)
-        await trio.sleep(KNOWN_S)
+        await trio.sleep(PROPAGATION_S)
         fleet.store.delay_s = 0.01
         for router in (first, 1 - first):
-            breaks = fleet.breaks_of([GOOD], begun_s=(0.4, 0.1)[router])
-            fleet.registries[router].note_crash("i-1", "i-1", breaks)
+            broken_attempts = fleet.broken_attempts_of([GOOD], elapsed_s=(0.4, 0.1)[router])
+            fleet.registries[router].note_crash("i-1", "i-1", broken_attempts)
             await trio.sleep(fleet.store.delay_s / 2)
-        await trio.sleep(KNOWN_S)
+        await trio.sleep(PROPAGATION_S)
         (record,) = fleet.store.topic(TOPIC).newest_by_key.values()
-        mark = mark_of(record)
-        assert (mark.router, round(mark.elapsed_s, 3)) == ("r0", 0.4)
+        observation = observation_of(record)
+        assert (observation.router, round(observation.elapsed_s, 3)) == ("r0", 0.4)
         assert upstream_of(record) == "i-1"
 
-    async def test_shorter_run_tells_when_its_router_saw_the_end(
+    async def test_shorter_attempt_contributes_its_detection_time(
         self, nursery, autojump_clock
     ) -> None:
         """Of three ends at one moment each long run's router saw one, another router saw all."""
         fleet = Fleet(nursery, routers=4)
-        await trio.sleep(KNOWN_S)
+        await trio.sleep(PROPAGATION_S)
         for number in range(3):
-            life = f"i-{number}"
-            for router, begun_s in [(number, 0.4), (3, 0.1)]:
-                breaks = fleet.breaks_of([GOOD], begun_s)
-                fleet.registries[router].note_crash(life, life, breaks)
-        await trio.sleep(KNOWN_S)
+            incarnation = f"i-{number}"
+            for router, elapsed_s in [(number, 0.4), (3, 0.1)]:
+                broken_attempts = fleet.broken_attempts_of([GOOD], elapsed_s)
+                fleet.registries[router].note_crash(incarnation, incarnation, broken_attempts)
+        await trio.sleep(PROPAGATION_S)
         assert not any(fleet.refused(GOOD))
 
 
 class TestClearing:
-    async def test_sound_answer_clears_at_all(self, nursery, autojump_clock) -> None:
+    async def test_complete_answer_clears_at_all_routers(self, nursery, autojump_clock) -> None:
         fleet = Fleet(nursery)
         for number in range(2):
-            await fleet.end(f"i-{number}", GOOD, seen_by=number)
+            await fleet.crash(f"i-{number}", GOOD, seen_by=number)
         fleet.registries[1].note_completed(GOOD)
-        await trio.sleep(KNOWN_S)
+        await trio.sleep(PROPAGATION_S)
         assert [r.suspect_crash_counts(GOOD) for r in fleet.registries] == [{}, {}]
         for number in range(2, 4):
-            await fleet.end(f"i-{number}", GOOD, seen_by=number % 2)
+            await fleet.crash(f"i-{number}", GOOD, seen_by=number % 2)
         assert not any(fleet.refused(GOOD))
 
-    async def test_sound_answer_clears_a_mark_that_was_on_its_way(
+    async def test_complete_answer_clears_an_observation_in_transit(
         self, nursery, autojump_clock
     ) -> None:
         fleet = Fleet(nursery)
         fleet.registries[1].note_completed(GOOD)
-        await fleet.end("i-1", GOOD)
+        await fleet.crash("i-1", GOOD)
         assert fleet.registries[0].suspect_crash_counts(GOOD) == {}
 
-    async def test_identical_reads_that_others_answer_are_not_marked(
+    async def test_content_that_other_upstreams_answer_is_not_recorded(
         self, nursery, autojump_clock
     ) -> None:
         fleet = Fleet(nursery)
-        await trio.sleep(KNOWN_S)
+        await trio.sleep(PROPAGATION_S)
         end = fleet.store.topic(TOPIC).end
         for number in range(5):
             fleet.registries[0].note_completed(GOOD)
-            await fleet.end(f"i-{number}", GOOD)
+            await fleet.crash(f"i-{number}", GOOD)
         assert not any(fleet.refused(GOOD))
         assert fleet.store.topic(TOPIC).end == end
 
-    async def test_mark_that_lands_behind_its_clearing_is_cleared_again(
+    async def test_observation_stored_after_its_clearing_is_cleared_again(
         self, nursery, autojump_clock
     ) -> None:
         fleet = Fleet(nursery)
         fleet.store.late_appends = 1
-        await fleet.end("i-1", GOOD)
+        await fleet.crash("i-1", GOOD)
         fleet.registries[0].note_completed(GOOD)
-        await trio.sleep(KNOWN_S)
+        await trio.sleep(PROPAGATION_S)
         fleet.store.do_late()
-        await trio.sleep(KNOWN_S)
+        await trio.sleep(PROPAGATION_S)
         later = fleet.start("r9")
-        await trio.sleep(KNOWN_S)
+        await trio.sleep(PROPAGATION_S)
         assert later.suspect_crash_counts(GOOD) == {}
 
-    async def test_ends_of_a_content_that_is_held_explain_those_beside_it(
+    async def test_crashes_of_a_held_content_clear_suspects_beside_it(
         self, nursery, autojump_clock, lines
     ) -> None:
         fleet = Fleet(nursery)
-        await fleet.end("i-1", GOOD, BAD)
-        await fleet.end("i-2", GOOD, BAD)
+        await fleet.crash("i-1", GOOD, BAD)
+        await fleet.crash("i-2", GOOD, BAD)
         assert fleet.registries[1].suspect_crash_counts(GOOD) == {GOOD: 2, BAD: 2}
-        await fleet.end("i-3", BAD)
+        await fleet.crash("i-3", BAD)
         assert all(fleet.refused(BAD))
         assert not any(fleet.refused(GOOD))
         assert fleet.registries[1].suspect_crash_counts(GOOD) == {}
 
 
-class TestReasonsOfTheirOwn:
+class TestUnrelatedCrashes:
     """Upstreams that end without any request's fault, and the contents that were there."""
 
-    async def test_upstreams_that_are_killed_together_hold_no_popular_read(
+    async def test_upstreams_killed_together_hold_no_popular_read(
         self, nursery, autojump_clock
     ) -> None:
         fleet = Fleet(nursery)
         now = trio.current_time()
-        breaks = [BrokenAttempt(UpstreamAttempt(GOOD, now - 0.2), now)]
+        broken_attempts = [BrokenAttempt(UpstreamAttempt(GOOD, now - 0.2), now)]
         for number in range(4):
-            fleet.registries[number % 2].note_crash(f"i-{number}", f"i-{number}", breaks)
-        await trio.sleep(KNOWN_S)
+            fleet.registries[number % 2].note_crash(f"i-{number}", f"i-{number}", broken_attempts)
+        await trio.sleep(PROPAGATION_S)
         assert not any(fleet.refused(GOOD))
 
-    async def test_long_stream_at_three_of_them_is_not_held(self, nursery, autojump_clock) -> None:
+    async def test_long_stream_at_three_crashes_is_not_held(self, nursery, autojump_clock) -> None:
         fleet = Fleet(nursery)
         for number in range(4):
-            await fleet.end(f"i-{number}", GOOD, begun_s=2.0)
+            await fleet.crash(f"i-{number}", GOOD, elapsed_s=2.0)
             assert not any(fleet.refused(GOOD))
-        await fleet.end("i-4", GOOD, begun_s=2.0)
+        await fleet.crash("i-4", GOOD, elapsed_s=2.0)
         assert all(fleet.refused(GOOD)), "whoever was at five in a row is held"
 
-    async def test_send_to_one_that_had_ended_counts_for_less(
+    async def test_attempt_sent_after_the_crash_counts_for_less(
         self, nursery, autojump_clock
     ) -> None:
         fleet = Fleet(nursery)
         for number in range(3):
-            await fleet.end(f"i-{number}", GOOD, begun_s=0.001)
+            await fleet.crash(f"i-{number}", GOOD, elapsed_s=0.001)
         assert not any(fleet.refused(GOOD))
 
-    async def test_run_that_ends_soundly_frees_a_content_that_is_held(
-        self, nursery, autojump_clock
-    ) -> None:
+    async def test_complete_answer_releases_a_held_content(self, nursery, autojump_clock) -> None:
         fleet = Fleet(nursery)
         for number in range(3):
-            await fleet.end(f"i-{number}", GOOD)
+            await fleet.crash(f"i-{number}", GOOD)
         assert all(fleet.refused(GOOD))
         fleet.registries[1].note_completed(GOOD)
-        await trio.sleep(KNOWN_S)
+        await trio.sleep(PROPAGATION_S)
         assert not any(fleet.refused(GOOD))
 
 
 class TestTrials:
-    async def test_refusal_says_when_it_may_be_tried(self, nursery, autojump_clock) -> None:
+    async def test_refusal_carries_the_time_until_a_trial(self, nursery, autojump_clock) -> None:
         fleet = Fleet(nursery)
         for number in range(3):
-            await fleet.end(f"i-{number}", BAD)
+            await fleet.crash(f"i-{number}", BAD)
         refusal = fleet.registries[1].refusal_of(BAD)
-        assert HOLD_S - 2 * KNOWN_S <= refusal.retry_after <= HOLD_S
+        assert BASE_HOLD_S - 2 * PROPAGATION_S <= refusal.retry_after <= BASE_HOLD_S
 
-    async def test_one_router_tries_one_at_a_time(self, nursery, autojump_clock) -> None:
+    async def test_only_the_owner_makes_one_trial_at_a_time(self, nursery, autojump_clock) -> None:
         fleet = Fleet(nursery)
         for number in range(3):
-            await fleet.end(f"i-{number}", BAD)
-        fleet.day_s += HOLD_S
+            await fleet.crash(f"i-{number}", BAD)
+        fleet.unix_time_s += BASE_HOLD_S
         assert fleet.refused(BAD) == [False, True]
         assert fleet.registries[0].refusal_of(BAD, under_way=True)
 
-    async def test_trial_that_ends_an_upstream_holds_for_longer(
+    async def test_trial_that_crashes_an_upstream_holds_for_longer(
         self, nursery, autojump_clock
     ) -> None:
         fleet = Fleet(nursery)
         for number in range(3):
-            await fleet.end(f"i-{number}", BAD)
+            await fleet.crash(f"i-{number}", BAD)
         for number in range(3, 6):
-            fleet.day_s += HOLD_S * 4 ** (number - 3)
+            fleet.unix_time_s += BASE_HOLD_S * 4 ** (number - 3)
             assert fleet.refused(BAD) == [False, True]
-            await fleet.end(f"i-{number}", BAD)
-        fleet.day_s += HOLD_S * 16
+            await fleet.crash(f"i-{number}", BAD)
+        fleet.unix_time_s += BASE_HOLD_S * 16
         assert all(fleet.refused(BAD)), "three trials in all"
 
-    async def test_trial_that_is_sound_frees(self, nursery, autojump_clock, lines) -> None:
+    async def test_trial_that_completes_releases_the_content(
+        self, nursery, autojump_clock, lines
+    ) -> None:
         fleet = Fleet(nursery)
         for number in range(3):
-            await fleet.end(f"i-{number}", BAD)
-        fleet.day_s += HOLD_S
+            await fleet.crash(f"i-{number}", BAD)
+        fleet.unix_time_s += BASE_HOLD_S
         fleet.registries[0].note_completed(BAD)
-        await trio.sleep(KNOWN_S)
+        await trio.sleep(PROPAGATION_S)
         assert not any(fleet.refused(BAD))
         assert [line["event"] for line in lines].count("content-released") == 2
 
 
-class TestForgetting:
-    async def test_owner_takes_old_marks_out_of_the_store(self, nursery, autojump_clock) -> None:
+class TestPruning:
+    async def test_owner_removes_old_observations_from_the_store(
+        self, nursery, autojump_clock
+    ) -> None:
         fleet = Fleet(nursery)
-        await fleet.end("i-1", GOOD)
-        fleet.day_s += KEEP_S + 1
+        await fleet.crash("i-1", GOOD)
+        fleet.unix_time_s += RETENTION_S + 1
         for registry in fleet.registries:
-            registry.forget_surplus()
+            registry.prune()
         await until(lambda: not fleet.store.topic(TOPIC).newest_by_key)
         assert [r.suspect_crash_counts(GOOD) for r in fleet.registries] == [{}, {}]
 
-    async def test_new_content_with_each_end_stays_within_the_bound(
+    async def test_new_content_at_each_crash_stays_within_the_bound(
         self, nursery, autojump_clock
     ) -> None:
         fleet = Fleet(nursery, routers=1)
         for number in range(40):
-            await fleet.end(f"i-{number}", f"{number:032x}")
-        fleet.registries[0].forget_surplus(most=10)
+            await fleet.crash(f"i-{number}", f"{number:032x}")
+        fleet.registries[0].prune(max_contents=10)
         await until(lambda: len(fleet.store.topic(TOPIC).newest_by_key) == 10)
 
-    async def test_mark_of_a_clock_that_is_ahead_holds_no_longer(
+    async def test_observation_from_a_fast_clock_holds_no_longer(
         self, nursery, autojump_clock
     ) -> None:
         fleet = Fleet(nursery)
-        await trio.sleep(KNOWN_S)
+        await trio.sleep(PROPAGATION_S)
         for number in range(3):
-            mark = CrashObservation(BAD, f"{number:016x}", fleet.day_s + 10 * KEEP_S)
-            fleet.store.put(TOPIC, record_key(mark), record_value(mark, "i"))
-        await trio.sleep(KNOWN_S)
-        assert fleet.registries[0].refusal_of(BAD).retry_after <= HOLD_S
-
-    async def test_mark_of_such_a_clock_is_kept_no_longer(self, nursery, autojump_clock) -> None:
+            observation = CrashObservation(
+                BAD, f"{number:016x}", fleet.unix_time_s + 10 * RETENTION_S
+            )
+            fleet.store.put(TOPIC, record_key(observation), record_value(observation, "i"))
+        await trio.sleep(PROPAGATION_S)
+        assert fleet.registries[0].refusal_of(BAD).retry_after <= BASE_HOLD_S
+
+    async def test_observation_from_a_fast_clock_is_kept_no_longer(
+        self, nursery, autojump_clock
+    ) -> None:
         fleet = Fleet(nursery)
-        await trio.sleep(KNOWN_S)
-        mark = CrashObservation(GOOD, f"{1:016x}", fleet.day_s + 10 * KEEP_S)
-        fleet.store.put(TOPIC, record_key(mark), record_value(mark, "i"))
-        await trio.sleep(KNOWN_S)
-        fleet.day_s += KEEP_S + 2 * AHEAD_S
-        fleet.registries[0].forget_surplus()
+        await trio.sleep(PROPAGATION_S)
+        observation = CrashObservation(GOOD, f"{1:016x}", fleet.unix_time_s + 10 * RETENTION_S)
+        fleet.store.put(TOPIC, record_key(observation), record_value(observation, "i"))
+        await trio.sleep(PROPAGATION_S)
+        fleet.unix_time_s += RETENTION_S + 2 * MAX_CLOCK_LEAD_S
+        fleet.registries[0].prune()
         assert fleet.registries[0].suspect_crash_counts(GOOD) == {}
 
 
-class TestStoreThatComesBackOlder:
-    async def test_marks_of_the_lost_seconds_are_written_again(self, autojump_clock) -> None:
+class TestStoreRollback:
+    async def test_observations_lost_in_a_rollback_are_written_again(self, autojump_clock) -> None:
         async with trio.open_nursery() as nursery:
             fleet = Fleet(nursery)
             copy = fleet.store.copy()
-            for life in ("1", "2", "3"):
-                await fleet.end(life, BAD)
+            for incarnation in ("1", "2", "3"):
+                await fleet.crash(incarnation, BAD)
             assert fleet.refused(BAD) == [True, True]
             fleet.store.roll_back(copy)
             for _ in range(30):
                 await trio.sleep(0.1)
                 assert fleet.refused(BAD) == [True, True]
             late = fleet.start("r2")
-            await trio.sleep(KNOWN_S)
+            await trio.sleep(PROPAGATION_S)
             assert late.refusal_of(BAD) is not None
             nursery.cancel_scope.cancel()
 
-    async def test_mark_of_a_router_that_is_dead_is_written_by_others(self, autojump_clock) -> None:
+    async def test_observation_of_a_dead_router_is_written_again_by_others(
+        self, autojump_clock
+    ) -> None:
         async with trio.open_nursery() as nursery:
             fleet = Fleet(nursery, routers=1)
             copy = fleet.store.copy()
-            dead = CrashRegistry(fleet.store, "dead", Random(1), Counters(), day_s=lambda: 0.0)
-            dead.note_crash("1", "1", fleet.breaks_of([BAD], 0.06))
-            await fleet.store.append(TOPIC, dict(dead._waiting))
-            await trio.sleep(KNOWN_S)
+            dead = CrashRegistry(
+                fleet.store, "dead", Random(1), Counters(), unix_time_s=lambda: 0.0
+            )
+            dead.note_crash("1", "1", fleet.broken_attempts_of([BAD], 0.06))
+            await fleet.store.append(TOPIC, dict(dead._pending))
+            await trio.sleep(PROPAGATION_S)
             keys = set(fleet.store.topic(TOPIC).newest_by_key)
             fleet.store.roll_back(copy)
-            await trio.sleep(KNOWN_S)
+            await trio.sleep(PROPAGATION_S)
             assert len(keys) == 1
             assert set(fleet.store.topic(TOPIC).newest_by_key) == keys
             nursery.cancel_scope.cancel()
 
-    async def test_clearings_of_the_lost_seconds_are_written_again(self, autojump_clock) -> None:
+    async def test_clearings_lost_in_a_rollback_are_written_again(self, autojump_clock) -> None:
         async with trio.open_nursery() as nursery:
             fleet = Fleet(nursery)
-            await fleet.end("1", GOOD)
+            await fleet.crash("1", GOOD)
             copy = fleet.store.copy()
             fleet.registries[0].note_completed(GOOD)
-            await trio.sleep(KNOWN_S)
+            await trio.sleep(PROPAGATION_S)
             fleet.store.roll_back(copy)
-            await trio.sleep(KNOWN_S)
+            await trio.sleep(PROPAGATION_S)
             late = fleet.start("r2")
-            await trio.sleep(KNOWN_S)
+            await trio.sleep(PROPAGATION_S)
             assert late.suspect_crash_counts(GOOD) == {}
-            marks = fleet.store.topic(TOPIC).newest_by_key.values()
-            assert [mark_of(record).cleared for record in marks] == [True]
+            observations = fleet.store.topic(TOPIC).newest_by_key.values()
+            assert [observation_of(record).cleared for record in observations] == [True]
             nursery.cancel_scope.cancel()
 
-    async def test_clearing_is_written_again_by_one_that_only_read_it(self, autojump_clock) -> None:
+    async def test_clearing_is_written_again_by_a_router_that_only_read_it(
+        self, autojump_clock
+    ) -> None:
         async with trio.open_nursery() as nursery:
             fleet = Fleet(nursery, routers=1)
-            await fleet.end("1", GOOD)
+            await fleet.crash("1", GOOD)
             copy = fleet.store.copy()
             other = CrashRegistry(fleet.store, "other", Random(1), Counters())
-            other.take(list(fleet.store.topic(TOPIC).newest_by_key.values()))
+            other.apply_records(list(fleet.store.topic(TOPIC).newest_by_key.values()))
             other.note_completed(GOOD)
-            await fleet.store.append(TOPIC, dict(other._waiting))
-            await trio.sleep(KNOWN_S)
+            await fleet.store.append(TOPIC, dict(other._pending))
+            await trio.sleep(PROPAGATION_S)
             fleet.store.roll_back(copy)
-            await trio.sleep(KNOWN_S)
-            marks = fleet.store.topic(TOPIC).newest_by_key.values()
-            assert [mark_of(record).cleared for record in marks] == [True]
+            await trio.sleep(PROPAGATION_S)
+            observations = fleet.store.topic(TOPIC).newest_by_key.values()
+            assert [observation_of(record).cleared for record in observations] == [True]
             nursery.cancel_scope.cancel()
 
-    async def test_nothing_is_written_where_the_copy_has_all(self, autojump_clock) -> None:
+    async def test_nothing_is_written_if_the_copy_is_complete(self, autojump_clock) -> None:
         async with trio.open_nursery() as nursery:
             fleet = Fleet(nursery)
-            await fleet.end("1", BAD)
+            await fleet.crash("1", BAD)
             copy = fleet.store.copy()
             end = fleet.store.topic(TOPIC).end
             fleet.store.roll_back(copy)
-            await trio.sleep(KNOWN_S)
+            await trio.sleep(PROPAGATION_S)
             assert fleet.store.topic(TOPIC).end == end
             nursery.cancel_scope.cancel()
 
 
-BUSY_ENDS = [
+BUSY_ROUTER_BREAKS = [
     # When a router saw a run broken off, which one, at which life and of what, when it had sent
     # that, and after how long it knew that the life had ended.
     (0.150, 0, "c0", GOOD, 0.000, 0.001),
@@ -477,36 +493,38 @@
     """
 
     @staticmethod
-    def watch_of(fleet: Fleet, router: int) -> CrashDetector:
+    def detector_of(fleet: Fleet, router: int) -> CrashDetector:
         """Return a watch that tells a router's registry of ends as late as the lines say."""
 
         async def probe(instance: Instance) -> ProbeResult:
-            seen = [one for one in BUSY_ENDS if one[1:3] == (router, instance.name)]
+            seen = [one for one in BUSY_ROUTER_BREAKS if one[1:3] == (router, instance.name)]
             await trio.sleep(seen[0][-1])
             return ProbeResult.REFUSED
 
-        def on_end(instance: Instance, breaks: list[BrokenAttempt]) -> None:
-            fleet.registries[router].note_crash(instance.incarnation, instance.name, breaks)
+        def on_crash(instance: Instance, broken_attempts: list[BrokenAttempt]) -> None:
+            fleet.registries[router].note_crash(
+                instance.incarnation, instance.name, broken_attempts
+            )
 
-        return CrashDetector(probe, on_end, fleet.nursery.start_soon)
+        return CrashDetector(probe, on_crash, fleet.nursery.start_soon)
 
     async def play(self, fleet: Fleet) -> list[str]:
         """Play the scene; return all contents that were held in it."""
         held: list[str] = []
-        watches = [self.watch_of(fleet, number) for number in range(3)]
+        watches = [self.detector_of(fleet, number) for number in range(3)]
         for registry in fleet.registries:
             registry.on_held = held.append
-        await trio.sleep(KNOWN_S)
+        await trio.sleep(PROPAGATION_S)
         began = trio.current_time()
-        for at, router, life, content, sent_at, _ in BUSY_ENDS:
+        for at, router, incarnation, content, sent_at, _ in BUSY_ROUTER_BREAKS:
             await trio.sleep_until(began + at)
-            instance = Instance(life, life, f"{life}:1", "z", "engine")
+            instance = Instance(incarnation, incarnation, f"{incarnation}:1", "z", "engine")
             watches[router].note_broken(instance, UpstreamAttempt(content, began + sent_at))
-        await trio.sleep(KNOWN_S)
+        await trio.sleep(PROPAGATION_S)
         return held
 
     @pytest.mark.parametrize("delay_s", [0.001, 0.004, 0.02, 0.1])
-    async def test_read_is_not_held_and_the_bad_content_is(
+    async def test_only_the_bad_content_is_held(
         self, nursery, autojump_clock, delay_s: float
     ) -> None:
         fleet = Fleet(nursery, routers=3)
@@ -515,11 +533,11 @@
         assert set(held) == {BAD}
         assert [registry.held for registry in fleet.registries] == [{BAD}] * 3
         later = fleet.start("r9")
-        await trio.sleep(KNOWN_S)
+        await trio.sleep(PROPAGATION_S)
         assert later.held == {BAD}
 
 
-class TestRouterThatStartsLater:
+class TestLateStart:
     """What a router that starts judges by what the store kept.
 
     Story. A router was killed 0.1 s behind the third end of a bad content and started again. It
@@ -537,22 +555,26 @@
         (0.173, 0, "c2", BAD, 0.074),
         (0.436, 1, "c3", BAD, 0.367),
     ]
-    SEEN_LATE = [(0.090, 0, "c1", OTHER, 0.010) if one[3] == OTHER else one for one in LINES]
+    DETECTED_LATE = [(0.090, 0, "c1", OTHER, 0.010) if one[3] == OTHER else one for one in LINES]
 
-    @pytest.mark.parametrize("lines", [LINES, SEEN_LATE])
-    async def test_it_holds_what_the_others_hold(self, nursery, autojump_clock, lines) -> None:
+    @pytest.mark.parametrize("lines", [LINES, DETECTED_LATE])
+    async def test_it_holds_the_same_contents_as_the_others(
+        self, nursery, autojump_clock, lines
+    ) -> None:
         fleet = Fleet(nursery)
-        await trio.sleep(KNOWN_S)
+        await trio.sleep(PROPAGATION_S)
         began = trio.current_time()
-        for at, router, life, content, sent_at in sorted(lines):
+        for at, router, incarnation, content, sent_at in sorted(lines):
             await trio.sleep_until(began + at)
             run = UpstreamAttempt(content, began + sent_at)
-            fleet.registries[router].note_crash(life, life, [BrokenAttempt(run, began + at)])
-        await trio.sleep(KNOWN_S)
+            fleet.registries[router].note_crash(
+                incarnation, incarnation, [BrokenAttempt(run, began + at)]
+            )
+        await trio.sleep(PROPAGATION_S)
         assert [registry.held for registry in fleet.registries] == [{BAD}] * 2
         fleet.registries[1].note_completed(OTHER)
-        await trio.sleep(KNOWN_S)
+        await trio.sleep(PROPAGATION_S)
         later = fleet.start("r9")
-        await trio.sleep(KNOWN_S)
+        await trio.sleep(PROPAGATION_S)
         assert later.held == {BAD}
         assert [registry.held for registry in fleet.registries] == [{BAD}] * 2
