--- a/railtide/containment/crash_detection.py
+++ b/railtide/containment/crash_detection.py
@@ -145,11 +145,16 @@
     def note_broken(self, instance: Instance, attempt: UpstreamAttempt) -> None:
         """Record that an upstream's answer broke off, and probe whether the upstream is alive."""
         now = trio.current_time()
-        incarnation = instance.incarnation
-        if now - self._crashed_at_by_incarnation.get(incarnation, -math.inf) <= BREAK_RETENTION_S:
+        incarnation_id = instance.incarnation
+        if (
+            now - self._crashed_at_by_incarnation.get(incarnation_id, -math.inf)
+            <= BREAK_RETENTION_S
+        ):
             self._on_crash(instance, [BrokenAttempt(attempt, now)])
             return
-        watched = self._watched_by_incarnation.setdefault(incarnation, _WatchedUpstream(instance))
+        watched = self._watched_by_incarnation.setdefault(
+            incarnation_id, _WatchedUpstream(instance)
+        )
         watched.note(BrokenAttempt(attempt, now))
         if watched.probe is None:
             watched.probe = trio.Event()
@@ -195,9 +200,9 @@
     def _forget_old_breaks(self) -> None:
         """Forget broken attempts that no later crash can explain."""
         old = trio.current_time() - BREAK_RETENTION_S
-        for incarnation, watched in list(self._watched_by_incarnation.items()):
+        for incarnation_id, watched in list(self._watched_by_incarnation.items()):
             if all(broken.at < old for broken in watched.broken_by_content.values()):
-                del self._watched_by_incarnation[incarnation]
+                del self._watched_by_incarnation[incarnation_id]
 
     def note_crashed(self, instance: Instance, sign: CrashSign) -> None:
         """Record that an incarnation has crashed with the attempts that broke off lately."""
--- a/railtide/containment/tests/test_admin.py
+++ b/railtide/containment/tests/test_admin.py
@@ -1,4 +1,4 @@
-"""What operators see of contents that are held, and how they let one go."""
+"""Tests of the operators' view of held contents, and of lifting a hold."""
 
 import trio
 
--- a/railtide/containment/tests/test_blame.py
+++ b/railtide/containment/tests/test_blame.py
@@ -1,4 +1,4 @@
-"""Whose fault the ends of upstreams are."""
+"""Attribution of upstream crashes to contents."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -7,18 +7,18 @@
     HOLD_THRESHOLD,
     STRONG_WEIGHT,
     Blame,
+    assign_blame,
     detection_times_of,
     evidence_weight,
 )
-from railtide.containment.blame import assign_blame as judged
 from railtide.containment.observations import CrashObservation
 
-ENDS_TO_HOLD = HOLD_THRESHOLD // STRONG_WEIGHT
-LIVES = st.frozensets(st.integers(0, 7), max_size=6)
+CRASHES_TO_HOLD = HOLD_THRESHOLD // STRONG_WEIGHT
+INCARNATIONS = st.frozensets(st.integers(0, 7), max_size=6)
 
 
-def incarnations(*counter: int) -> frozenset[str]:
-    return frozenset(f"life {number}" for number in counter)
+def incarnations(*numbers: int) -> frozenset[str]:
+    return frozenset(f"incarnation {number}" for number in numbers)
 
 
 def observation(
@@ -27,14 +27,20 @@
     return CrashObservation(content, str(incarnation), at, **fields)
 
 
-def blame_of_crashes(lives_by_content: dict[str, frozenset]) -> Blame:
-    """Judge by ends of which each comes long behind the one before."""
-    order = sorted({str(incarnation) for ends in lives_by_content.values() for incarnation in ends})
-    at_by_life = {incarnation: 10.0 * number for number, incarnation in enumerate(order)}
-    return judged(
-        observation(incarnation, at_by_life[str(incarnation)], content)
-        for content, ends in lives_by_content.items()
-        for incarnation in ends
+def blame_of_crashes(incarnations_by_content: dict[str, frozenset]) -> Blame:
+    """Return the blame for crashes that lie far apart in time."""
+    order = sorted(
+        {
+            str(incarnation)
+            for crashes in incarnations_by_content.values()
+            for incarnation in crashes
+        }
+    )
+    at_by_incarnation = {incarnation: 10.0 * number for number, incarnation in enumerate(order)}
+    return assign_blame(
+        observation(incarnation, at_by_incarnation[str(incarnation)], content)
+        for content, crashes in incarnations_by_content.items()
+        for incarnation in crashes
     )
 
 
@@ -67,10 +73,10 @@
         assert blame.crash_count_by_content == {"one": 3, "other": 3}
 
     def test_two_that_share_two_of_three_crashes_are_not_held_yet(self) -> None:
-        """One was at a kill and at two ends of the other: which one is not told by their ends."""
-        ends = {"one": incarnations(1, 2, 3), "other": incarnations(2, 3, 4)}
-        assert blame_of_crashes(ends).held == {}
-        blame = blame_of_crashes(ends | {"other": incarnations(2, 3, 4, 5)})
+        """One was in flight at a kill and at two crashes of the other: either may be the cause."""
+        crashes = {"one": incarnations(1, 2, 3), "other": incarnations(2, 3, 4)}
+        assert blame_of_crashes(crashes).held == {}
+        blame = blame_of_crashes(crashes | {"other": incarnations(2, 3, 4, 5)})
         assert set(blame.held) == {"other"}
         assert blame.crash_count_by_content == {"one": 1}
 
@@ -93,13 +99,16 @@
         blame = blame_of_crashes({"a": incarnations(1, 2, 3), "b": incarnations(3, 4, 5, 6)})
         assert set(blame.held) == {"a", "b"} or blame.crash_count_by_content == {"a": 2}
 
-    @given(LIVES.filter(lambda found: len(found) >= ENDS_TO_HOLD), st.lists(LIVES, max_size=5))
+    @given(
+        INCARNATIONS.filter(lambda found: len(found) >= CRASHES_TO_HOLD),
+        st.lists(INCARNATIONS, max_size=5),
+    )
     def test_only_the_content_at_every_crash_is_held(
         self, bad: frozenset[int], beside: list[frozenset[int]]
     ) -> None:
-        ends = {f"innocent {n}": seen & bad for n, seen in enumerate(beside)}
-        blame = blame_of_crashes({"bad": bad} | ends)
-        if any(seen == bad for seen in ends.values()):
+        crashes = {f"innocent {n}": seen & bad for n, seen in enumerate(beside)}
+        blame = blame_of_crashes({"bad": bad} | crashes)
+        if any(seen == bad for seen in crashes.values()):
             return  # whoever was at each end can't be told from it
         assert set(blame.held) == {"bad"}
         assert blame.crash_count_by_content == {}
@@ -107,23 +116,23 @@
 
 class TestEvidenceWeight:
     def test_simultaneous_crashes_count_once(self) -> None:
-        """A content that is read by many is under way wherever upstreams are killed together."""
+        """A content that many callers read is in flight wherever upstreams are killed together."""
         together = [
             observation(incarnation, 10.0 + incarnation / 1000, elapsed_s=0.5)
             for incarnation in range(4)
         ]
         assert evidence_weight(together, detection_times_of(together)) == STRONG_WEIGHT
-        assert judged(together).crash_count_by_content == {"c": 1}
+        assert assign_blame(together).crash_count_by_content == {"c": 1}
 
     def test_retry_that_crashes_the_next_upstream_at_once_counts_by_itself(self) -> None:
-        tries = [observation(n, 10.0 + n / 100, elapsed_s=0.01) for n in range(3)]
-        assert set(judged(tries).held) == {"c"}
+        attempts = [observation(n, 10.0 + n / 100, elapsed_s=0.01) for n in range(3)]
+        assert set(assign_blame(attempts).held) == {"c"}
 
     def test_streams_begun_long_before_are_not_held_by_three_crashes(self) -> None:
         weak = [observation(n, 10.0 * n, elapsed_s=2.0, weak=True) for n in range(5)]
-        assert judged(weak[:3]).held == {}
-        assert judged([observation(9, 1.0), *weak[:3]]).held == {}
-        assert set(judged(weak).held) == {"c"}
+        assert assign_blame(weak[:3]).held == {}
+        assert assign_blame([observation(9, 1.0), *weak[:3]]).held == {}
+        assert set(assign_blame(weak).held) == {"c"}
 
     def test_strong_and_weak_observations_add_up(self) -> None:
         observations = [
@@ -132,38 +141,38 @@
             observation(3, 21.0, weak=True),
             observation(4, 31.0, weak=True),
         ]
-        assert judged(observations[:3]).held == {}
-        assert set(judged(observations).held) == {"c"}
+        assert assign_blame(observations[:3]).held == {}
+        assert set(assign_blame(observations).held) == {"c"}
 
     def test_crashes_seen_by_routers_with_different_clocks_stay_separate(self) -> None:
-        """The clock of one is ahead by about the time between a bad content's ends."""
+        """One clock is ahead by about the time between two crashes of a bad content."""
         observations = [
             observation(1, 10.07, elapsed_s=0.06, router="ahead"),
             observation(2, 10.07, elapsed_s=0.06, router="right"),
             observation(3, 10.14, elapsed_s=0.06, router="right"),
         ]
-        assert set(judged(observations).held) == {"c"}
+        assert set(assign_blame(observations).held) == {"c"}
 
     def test_router_that_saw_all_shows_that_they_were_simultaneous(self) -> None:
-        """Each of three saw the content at one upstream; one saw all of them end at once."""
+        """Three routers saw the content at one upstream each; another saw all crash at once."""
         observations = [observation(n, 10.0 + n, elapsed_s=0.5, router=f"r{n}") for n in range(3)]
         seen = [
             observation(n, 20.0 + n / 1000, f"other {n}", cleared=True, router="s")
             for n in range(3)
         ]
-        assert set(judged(observations).held) == {"c"}
-        assert judged(observations + seen).held == {}
+        assert set(assign_blame(observations).held) == {"c"}
+        assert assign_blame(observations + seen).held == {}
 
 
 class TestOverlappingAttempts:
-    """A content that is under way at several upstreams at once, of which more than one ends.
-
-    Story. Within 0.13 s of a start an upstream was killed and two ended under a bad content. A read
-    that all callers make was under way at all three since before the first of these ends; it was
-    held before the bad content's own third end and refused from then on, and its one run that might
-    have cleared it was stopped. Evidence: the lines of three routers, with the times below. Cause:
-    ends of runs that had been sent before it was a suspect counted like those of one run after
-    another.
+    """A content that is in flight at several upstreams at once, more than one of which crashes.
+
+    Guards against holding a read that all callers make. Within 0.13 s an upstream was killed and
+    two crashed under a bad content. The read was in flight at all three since before the first of
+    these crashes. It was held before the bad content's own third crash and refused from then on,
+    and its one attempt that could have cleared it was cancelled: crashes of attempts that were sent
+    before it was a suspect counted like those of one attempt after the other. The times below are
+    those that three routers logged.
     """
 
     READ = [
@@ -179,38 +188,38 @@
     BESIDE = [observation("c3", 16.131, "beside", elapsed_s=0.5, router="r1")]
 
     def test_read_in_flight_since_before_the_first_crash_is_not_held(self) -> None:
-        blame = judged([*self.READ, *self.BAD[:2], *self.BESIDE])
+        blame = assign_blame([*self.READ, *self.BAD[:2], *self.BESIDE])
         assert blame.held == {}
         assert blame.crash_count_by_content == {"read": 3, "bad": 2, "beside": 1}
 
     def test_bad_content_beside_it_is_held_and_explains_its_crashes(self) -> None:
-        blame = judged([*self.READ, *self.BAD, *self.BESIDE])
+        blame = assign_blame([*self.READ, *self.BAD, *self.BESIDE])
         assert set(blame.held) == {"bad"}
         assert blame.crash_count_by_content == {"read": 1, "beside": 1}
 
     def test_sender_of_an_attempt_decides_whether_it_knew_of_a_crash(self) -> None:
-        """Another one stood still for a while, and saw both ends late and together."""
+        """Another router was stalled for a while, and detected both crashes late and together."""
         in_turn = [observation(n, 10.0 + n / 10, elapsed_s=0.06, router="sender") for n in range(3)]
         late = [observation(n, 10.15 + n / 100, f"other {n}", router="late") for n in range(3)]
-        assert set(judged([*in_turn, *late]).held) == {"c"}
+        assert set(assign_blame([*in_turn, *late]).held) == {"c"}
 
     def test_other_router_decides_if_no_sender_saw_both_crashes(self) -> None:
         observations = [observation(n, 10.0 + n, elapsed_s=0.3, router=f"r{n}") for n in range(3)]
         seen = [
             observation(n, 20.0 + n / 10, f"other {n}", router="s", weak=True) for n in range(3)
         ]
-        assert set(judged(observations).held) == {"c"}
-        assert judged([*observations, *seen]).held == {}
+        assert set(assign_blame(observations).held) == {"c"}
+        assert assign_blame([*observations, *seen]).held == {}
 
     def test_copies_that_crash_three_at_once_are_held_by_the_next_crash(self) -> None:
         copies = [
             observation(n, 10.0 + n / 10, elapsed_s=0.06 + n / 10, router="r") for n in range(3)
         ]
-        assert judged(copies).held == {}
-        assert set(judged([*copies, observation(9, 11.0, elapsed_s=0.06, router="r")]).held) == {
-            "c"
-        }
+        assert assign_blame(copies).held == {}
+        assert set(
+            assign_blame([*copies, observation(9, 11.0, elapsed_s=0.06, router="r")]).held
+        ) == {"c"}
 
     def test_clock_differences_between_routers_are_no_overlap(self) -> None:
         in_turn = [observation(n, 10.0, elapsed_s=0.06, router=f"r{n}") for n in range(3)]
-        assert set(judged(in_turn).held) == {"c"}
+        assert set(assign_blame(in_turn).held) == {"c"}
--- a/railtide/containment/tests/test_content.py
+++ b/railtide/containment/tests/test_content.py
@@ -1,4 +1,4 @@
-"""What makes two requests the same."""
+"""Tests of the identity of requests."""
 
 from hypothesis import given
 from hypothesis import strategies as st
--- a/railtide/containment/tests/test_crash_detection.py
+++ b/railtide/containment/tests/test_crash_detection.py
@@ -1,4 +1,4 @@
-"""An upstream's end, told from an answer that broke off while it lives."""
+"""Crashes of upstreams, as distinct from answers that broke off while the upstream was alive."""
 
 import pytest
 import trio
@@ -29,7 +29,7 @@
 
 
 class DetectorHarness:
-    """A watch whose probes find what a test says, once the test lets them."""
+    """A detector whose probes return a given result once the test lets them answer."""
 
     def __init__(self, nursery: trio.Nursery, found: ProbeResult) -> None:
         self.found = found
@@ -184,11 +184,12 @@
     async def test_late_new_incarnation_shows_the_crash_of_an_unresponsive_upstream(
         self, nursery, autojump_clock
     ) -> None:
-        """Something accepts connections at its address while it is gone.
+        """A proxy accepts connections at the address while the upstream is gone.
 
-        Callers saw 21 and 26 upstreams end under one content whose copies came each 0.4 s: a probe
-        connected each time, the next life was listed 1.5 s later and a little more, and the ends
-        counted for nobody. What was sent to it meanwhile was not there when it ended.
+        Callers saw 21 and 26 upstreams crash under one content whose copies arrived every 0.4 s:
+        each probe connected, the next incarnation was listed a little more than 1.5 s later, and
+        the crashes were attributed to no content. An attempt that was sent meanwhile was not in
+        flight at the crash.
         """
         harness = DetectorHarness(nursery, ProbeResult.CONNECTED)
         harness.detector.note_broken(UPSTREAM, attempt_of("a"))
--- a/railtide/containment/tests/test_guard.py
+++ b/railtide/containment/tests/test_guard.py
@@ -1,4 +1,4 @@
-"""What a request is told while routers still hear of an end from one another."""
+"""Refusals and cancellations while observations of a crash still arrive from other routers."""
 
 import pytest
 import trio
@@ -22,7 +22,7 @@
 
 
 class TestCancelAttempts:
-    """Runs of a content that comes to be held."""
+    """Attempts in flight of a content that becomes held."""
 
     @pytest.mark.parametrize(
         ("head_before_s", "stopped"), [(None, True), (SURVIVAL_S / 2, True), (SURVIVAL_S, False)]
@@ -37,20 +37,22 @@
         now = trio.current_time()
         head_at = None if head_before_s is None else now - head_before_s
         with (
-            guard.cancel_scope_for(BAD, lambda: head_at) as run,
-            guard.cancel_scope_for(GOOD, lambda: None) as other,
+            guard.cancel_scope_for(BAD, lambda: head_at) as scope,
+            guard.cancel_scope_for(GOOD, lambda: None) as other_scope,
         ):
             fleet.registries[0].note_crash("i-2", "i-2", fleet.broken_attempts_of([BAD], 0.06))
-            assert run.cancel_called is stopped
-            assert not other.cancel_called
+            assert scope.cancel_called is stopped
+            assert not other_scope.cancel_called
 
 
 class TestFreshVerdict:
-    """Story. A read that all callers make was at three ends, two of them under a bad content whose
-    third was seen by another router in the same millisecond. It was held for the 6 ms until that
-    router's mark came, and a caller was refused in them. Evidence: the lines `content-held` and
-    `content-released` of two routers, 7 ms apart. Cause: a verdict was acted on before all who saw
-    the same end could be heard."""
+    """Guards against refusing an innocent content before other routers' observations arrive.
+
+    A read that all callers make was in flight at three crashes, two of them caused by a bad content
+    whose third crash another router saw in the same millisecond. The read was held for the 6 ms
+    until that router's observation arrived, and a caller was refused meanwhile: a verdict was acted
+    on before all routers that saw the same crash could report it.
+    """
 
     async def test_innocent_content_waits_for_the_observations_of_others(
         self, nursery, autojump_clock
@@ -60,7 +62,7 @@
         await fleet.crash("i-0", BAD)
         await fleet.crash("i-1", GOOD)
         await fleet.crash("i-2", GOOD, BAD)
-        await fleet.crash("i-3", BAD, elapsed_s=2.0)
+        await fleet.crash("i-3", BAD, age_s=2.0)
         fleet.store.delay_s = VERDICT_SETTLE_S / 4
         nursery.start_soon(fleet.crash, "i-4", GOOD)
         await trio.sleep(0.001)
--- a/railtide/containment/tests/test_interleavings.py
+++ b/railtide/containment/tests/test_interleavings.py
@@ -1,9 +1,9 @@
-"""Both promises over interleavings of ends, sound answers, lost writes, restarts and outages.
+"""Containment under interleaved crashes, complete answers, lost writes, restarts and outages.
 
-A bad content ends each upstream that begins it; others share its upstreams and come again when they
-were broken off. The registries are real, with a store that loses answers, is late or away; the
-upstreams are modelled. Checked: once routers have heard of the third end no upstream gets the bad
-content any more, and never is another content held.
+A bad content crashes each upstream that begins it; others share its upstreams and are retried when
+they were broken off. The registries are real, with a store that loses answers, applies appends late
+or is down; the upstreams are modelled. Checked: once routers know of the third crash, no upstream
+gets the bad content any more, and no other content is ever held.
 """
 
 from collections.abc import Iterator
@@ -28,26 +28,26 @@
 PROPAGATION_S = 3.0
 MAX_CRASHES = 3
 CRASH_AFTER_S = 0.06
-"""Behind which an upstream ends under the bad content."""
+"""Time after which an upstream crashes under the bad content."""
 START_S = 0.1
-"""A start reads the marks before it serves."""
+"""A router that starts reads the observations before it serves."""
 MAX_SENDS = 3
-"""That an innocent content comes: its first time, a second try, and its caller's own."""
+"""How often an innocent content is sent: once, a router's retry and its caller's retry."""
 
 STEPS = st.one_of(
     st.tuples(st.just("bad"), st.integers(0, ROUTERS - 1)),
     st.tuples(st.just("innocent"), st.integers(0, ROUTERS - 1)),
-    st.tuples(st.just("again"), st.integers(0, ROUTERS - 1)),
+    st.tuples(st.just("retry"), st.integers(0, ROUTERS - 1)),
     st.tuples(
-        st.sampled_from(["finish", "hear", "lose", "late", "land", "away", "back"]), st.just(0)
+        st.sampled_from(["finish", "propagate", "lose", "late", "land", "away", "back"]), st.just(0)
     ),
     st.tuples(st.just("restart"), st.integers(0, ROUTERS - 1)),
 )
 
 
 @dataclass
-class Run:
-    """A content under way at a router and a life of an upstream."""
+class Attempt:
+    """A content in flight from a router at an incarnation of an upstream."""
 
     content: str
     router: int
@@ -56,19 +56,19 @@
 
 @dataclass
 class Model:
-    """Routers with real registries before upstreams that end under the bad content."""
+    """Routers with real registries in front of upstreams that crash under the bad content."""
 
     nursery: trio.Nursery
     store: MemoryStore = field(default_factory=MemoryStore)
     registries: list[CrashRegistry] = field(default_factory=list)
     scopes: list[trio.CancelScope] = field(default_factory=list)
-    life_by_upstream: dict[str, int] = field(
+    incarnation_by_upstream: dict[str, int] = field(
         default_factory=lambda: {f"e{number}": 1 for number in range(UPSTREAMS)}
     )
-    runs: list[Run] = field(default_factory=list)
+    attempts: list[Attempt] = field(default_factory=list)
     broken: list[str] = field(default_factory=list)
     sends_by_content: dict[str, int] = field(default_factory=dict)
-    ends: int = 0
+    crashes: int = 0
     propagated: bool = True
     counter: Iterator[int] = field(default_factory=count)
 
@@ -90,11 +90,11 @@
         with scope:
             await registry.run()
 
-    def _life(self, upstream: str) -> str:
-        return f"{upstream}/{self.life_by_upstream[upstream]}"
+    def _incarnation(self, upstream: str) -> str:
+        return f"{upstream}/{self.incarnation_by_upstream[upstream]}"
 
     def _place(self, router: int, content: str) -> str:
-        names = sorted(self.life_by_upstream)
+        names = sorted(self.incarnation_by_upstream)
         crash_counts = self.registries[router].suspect_crash_counts(content)
         chosen = (
             sorted(preferred_upstreams(content, crash_counts, names)) if crash_counts else names
@@ -105,66 +105,68 @@
         """Send the bad content from a router, unless it is refused there."""
         if self.registries[router].refusal_of(BAD):
             return
-        assert not (self.propagated and self.ends >= MAX_CRASHES), "sent on though all had heard"
+        assert not (
+            self.propagated and self.crashes >= MAX_CRASHES
+        ), "sent although all routers knew of three crashes"
         upstream = self._place(router, BAD)
         await trio.sleep(CRASH_AFTER_S)
-        self._end(upstream, Run(BAD, router, upstream))
+        self._crash(upstream, Attempt(BAD, router, upstream))
 
-    def _end(self, upstream: str, cause: Run) -> None:
-        under_way = [run for run in self.runs if run.upstream == upstream] + [cause]
-        self.runs = [run for run in self.runs if run.upstream != upstream]
+    def _crash(self, upstream: str, cause: Attempt) -> None:
+        in_flight = [attempt for attempt in self.attempts if attempt.upstream == upstream] + [cause]
+        self.attempts = [attempt for attempt in self.attempts if attempt.upstream != upstream]
         for router, registry in enumerate(self.registries):
             now = trio.current_time()
             broken_attempts = [
-                BrokenAttempt(UpstreamAttempt(run.content, now - CRASH_AFTER_S), now)
-                for run in under_way
-                if run.router == router
+                BrokenAttempt(UpstreamAttempt(attempt.content, now - CRASH_AFTER_S), now)
+                for attempt in in_flight
+                if attempt.router == router
             ]
             if broken_attempts:
-                registry.note_crash(self._life(upstream), upstream, broken_attempts)
-        self.broken += [run.content for run in under_way if run is not cause]
-        self.life_by_upstream[upstream] += 1
-        self.ends += 1
+                registry.note_crash(self._incarnation(upstream), upstream, broken_attempts)
+        self.broken += [attempt.content for attempt in in_flight if attempt is not cause]
+        self.incarnation_by_upstream[upstream] += 1
+        self.crashes += 1
         self.propagated = False
 
     def innocent(self, router: int, content: str = "") -> None:
-        """Begin another content at a router."""
+        """Send another content from a router."""
         content = content or f"{next(self.counter):032x}"
-        times = self.sends_by_content.get(content, 0)
-        if times >= MAX_SENDS:
+        sends = self.sends_by_content.get(content, 0)
+        if sends >= MAX_SENDS:
             return
-        self.sends_by_content[content] = times + 1
+        self.sends_by_content[content] = sends + 1
         assert not self.registries[router].refusal_of(content), "an innocent content is refused"
-        self.runs.append(Run(content, router, self._place(router, content)))
+        self.attempts.append(Attempt(content, router, self._place(router, content)))
 
-    def again(self, router: int) -> None:
-        """Have a content that was broken off come again."""
+    def retry(self, router: int) -> None:
+        """Retry a content that was broken off."""
         if self.broken:
             self.innocent(router, self.broken.pop(0))
 
     def finish(self, _: int) -> None:
-        """Answer soundly all that is under way."""
-        for run in self.runs:
-            self.registries[run.router].note_completed(run.content)
-        self.runs.clear()
+        """Complete all attempts in flight."""
+        for attempt in self.attempts:
+            self.registries[attempt.router].note_completed(attempt.content)
+        self.attempts.clear()
 
     async def restart(self, router: int) -> None:
-        """Kill a router and start another: what it had under way and not written is lost."""
+        """Kill a router and start another; its attempts in flight and pending writes are lost."""
         if not self.propagated:
             return
-        self.runs = [run for run in self.runs if run.router != router]
+        self.attempts = [attempt for attempt in self.attempts if attempt.router != router]
         self.start(router)
         await trio.sleep(START_S)
         self.propagated = not self.store.down
 
-    async def hear(self, _: int = 0) -> None:
-        """Let some time pass, in which routers hear of each other if the store is there."""
+    async def propagate(self, _: int = 0) -> None:
+        """Let time pass for routers to read each other's observations, if the store is up."""
         await trio.sleep(PROPAGATION_S)
         self.propagated = self.propagated or not (self.store.down or self.store.late_appends)
 
     async def step(self, name: str, router: int) -> None:
-        if name == "hear":
-            await self.hear()
+        if name == "propagate":
+            await self.propagate()
         elif name in ("bad", "restart"):
             await getattr(self, name)(router)
         elif name == "lose":
@@ -183,9 +185,9 @@
             assert registry.held <= {BAD}, "an innocent content is held"
 
 
-def play(steps: list[tuple[str, int]], propagate_each: bool = False) -> Model:
-    """Play steps and return what the model is then."""
-    played: list[Model] = []
+def run_steps(steps: list[tuple[str, int]], propagate_each: bool = False) -> Model:
+    """Run steps and return the final model."""
+    finished: list[Model] = []
 
     async def scenario() -> None:
         async with trio.open_nursery() as nursery:
@@ -196,20 +198,20 @@
             for name, router in steps:
                 await model.step(name, router)
                 if propagate_each:
-                    await model.hear()
+                    await model.propagate()
                 model.check()
             model.store.down = False
             model.store.late_appends = 0
-            await model.hear()
+            await model.propagate()
             model.check()
             for router in range(ROUTERS):
                 await model.bad(router)
-                await model.hear()
-            played.append(model)
+                await model.propagate()
+            finished.append(model)
             nursery.cancel_scope.cancel()
 
     trio.run(scenario, clock=trio.testing.MockClock(autojump_threshold=0))
-    return played[0]
+    return finished[0]
 
 
 class TestInterleavings:
@@ -218,13 +220,13 @@
     def test_bad_content_is_contained_and_no_other_is_held(
         self, steps: list[tuple[str, int]]
     ) -> None:
-        play(steps)
+        run_steps(steps)
 
     @settings(max_examples=100)
     @given(
         st.lists(
             st.tuples(
-                st.sampled_from(["bad", "innocent", "again", "finish"]),
+                st.sampled_from(["bad", "innocent", "retry", "finish"]),
                 st.integers(0, ROUTERS - 1),
             ),
             min_size=4,
@@ -234,4 +236,4 @@
     def test_at_most_three_crashes_if_each_is_propagated(
         self, steps: list[tuple[str, int]]
     ) -> None:
-        assert play(steps, propagate_each=True).ends <= MAX_CRASHES
+        assert run_steps(steps, propagate_each=True).crashes <= MAX_CRASHES
--- a/railtide/containment/tests/test_observations.py
+++ b/railtide/containment/tests/test_observations.py
@@ -1,4 +1,4 @@
-"""Marks are a union, whatever becomes of their writes."""
+"""Observations merge to the same set in whatever order, and are retained and dropped by rule."""
 
 from itertools import permutations
 
@@ -8,7 +8,7 @@
 from railtide.containment.holding import BASE_HOLD_S, RETENTION_S, held_until, surplus_observations
 from railtide.containment.observations import CrashObservation, ObservationSet
 
-MARKS = st.builds(
+OBSERVATIONS = st.builds(
     CrashObservation,
     content=st.sampled_from("ab"),
     incarnation=st.sampled_from("123"),
@@ -30,7 +30,7 @@
 
 
 class TestObservationSet:
-    @given(st.lists(MARKS, max_size=8), st.randoms(use_true_random=False))
+    @given(st.lists(OBSERVATIONS, max_size=8), st.randoms(use_true_random=False))
     def test_order_and_repeats_change_nothing(
         self, observations: list[CrashObservation], rng
     ) -> None:
@@ -58,15 +58,15 @@
             assert observation_set.of_content("a") == [strong]
 
     def test_longest_attempt_is_kept_whoever_saw_it(self) -> None:
-        runs = [
+        attempts = [
             CrashObservation("a", "1", 1.0 + n, elapsed_s=elapsed_s)
             for n, elapsed_s in enumerate((0.1, 0.3, 0.2))
         ]
-        for order in permutations(runs):
+        for order in permutations(attempts):
             observation_set = ObservationSet()
             for observation in order:
                 observation_set.add(observation)
-            assert observation_set.of_content("a") == [runs[1]]
+            assert observation_set.of_content("a") == [attempts[1]]
 
     def test_detection_times_are_kept_for_each_router(self) -> None:
         observation_set = ObservationSet()
--- a/railtide/containment/tests/test_placement.py
+++ b/railtide/containment/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Where suspects run: apart, and all copies of one together."""
+"""Placement of suspects: apart from each other, all copies of one together."""
 
 from collections import Counter
 
@@ -25,10 +25,10 @@
         self, crash_counts: dict[str, int]
     ) -> None:
         upstream_by_content = dedicated_upstreams(crash_counts, NAMES)
-        apart = [content for content, count in crash_counts.items() if count >= 2]
-        assert set(upstream_by_content) == set(apart)
-        if len(apart) <= len(NAMES):
-            assert len(set(upstream_by_content.values())) == len(apart)
+        isolated = [content for content, count in crash_counts.items() if count >= 2]
+        assert set(upstream_by_content) == set(isolated)
+        if len(isolated) <= len(NAMES):
+            assert len(set(upstream_by_content.values())) == len(isolated)
 
     @given(STRIKES)
     def test_suspect_of_one_crash_avoids_isolated_contents(
@@ -48,8 +48,8 @@
             assert preferred_upstreams(content, crash_counts, NAMES[::-1]) == chosen
 
     def test_suspects_of_one_crash_are_spread(self) -> None:
-        """Story. A read and a bad content were at one end; the second tries of both went to the
-        same upstream at once, and a third end, a kill, held the read."""
+        """Without it, retries of a read and of a bad content that were in flight at one crash went
+        to the same upstream, and a third crash, a kill, held the read."""
         crash_counts = {f"{number:032x}": 1 for number in range(40)}
         beside = Counter(
             name for c in crash_counts for name in preferred_upstreams(c, crash_counts, NAMES)
--- a/railtide/containment/tests/test_registry.py
+++ b/railtide/containment/tests/test_registry.py
@@ -1,4 +1,4 @@
-"""How all routers come to know of contents that end upstreams, whatever the store does."""
+"""Sharing of crash observations among routers, whatever the store does."""
 
 from collections.abc import Callable, Iterable
 from random import Random
@@ -50,21 +50,19 @@
         return registry
 
     async def crash(
-        self, incarnation: str, *contents: str, seen_by: int = 0, elapsed_s: float = 0.06
+        self, incarnation: str, *contents: str, seen_by: int = 0, age_s: float = 0.06
     ) -> None:
-        """Have a router see the end of a life and let all know."""
+        """Have a router detect the crash of an incarnation, and wait until all routers know it."""
         self.registries[seen_by].note_crash(
-            incarnation, incarnation, self.broken_attempts_of(contents, elapsed_s)
+            incarnation, incarnation, self.broken_attempts_of(contents, age_s)
         )
         await trio.sleep(PROPAGATION_S)
 
     @staticmethod
-    def broken_attempts_of(contents: Iterable[str], elapsed_s: float) -> list[BrokenAttempt]:
-        """Return runs that began so long ago and break off now."""
+    def broken_attempts_of(contents: Iterable[str], age_s: float) -> list[BrokenAttempt]:
+        """Return attempts that were sent so long ago and break off now."""
         now = trio.current_time()
-        return [
-            BrokenAttempt(UpstreamAttempt(content, now - elapsed_s), now) for content in contents
-        ]
+        return [BrokenAttempt(UpstreamAttempt(content, now - age_s), now) for content in contents]
 
     def refused(self, content: str) -> list[bool]:
         return [registry.refusal_of(content) is not None for registry in self.registries]
@@ -156,7 +154,7 @@
 
 
 class TestLongestAttempt:
-    """Of a content's runs at one life the one that was there for longest tells most."""
+    """Of a content's attempts at one incarnation, the longest takes precedence."""
 
     @pytest.mark.parametrize("first", [0, 1])
     async def test_it_remains_in_the_store_whoever_writes_last(
@@ -166,7 +164,7 @@
         await trio.sleep(PROPAGATION_S)
         fleet.store.delay_s = 0.01
         for router in (first, 1 - first):
-            broken_attempts = fleet.broken_attempts_of([GOOD], elapsed_s=(0.4, 0.1)[router])
+            broken_attempts = fleet.broken_attempts_of([GOOD], age_s=(0.4, 0.1)[router])
             fleet.registries[router].note_crash("i-1", "i-1", broken_attempts)
             await trio.sleep(fleet.store.delay_s / 2)
         await trio.sleep(PROPAGATION_S)
@@ -178,13 +176,13 @@
     async def test_shorter_attempt_contributes_its_detection_time(
         self, nursery, autojump_clock
     ) -> None:
-        """Of three ends at one moment each long run's router saw one, another router saw all."""
+        """Of three simultaneous crashes each long attempt's router saw one, another router all."""
         fleet = Fleet(nursery, routers=4)
         await trio.sleep(PROPAGATION_S)
         for number in range(3):
             incarnation = f"i-{number}"
-            for router, elapsed_s in [(number, 0.4), (3, 0.1)]:
-                broken_attempts = fleet.broken_attempts_of([GOOD], elapsed_s)
+            for router, age_s in [(number, 0.4), (3, 0.1)]:
+                broken_attempts = fleet.broken_attempts_of([GOOD], age_s)
                 fleet.registries[router].note_crash(incarnation, incarnation, broken_attempts)
         await trio.sleep(PROPAGATION_S)
         assert not any(fleet.refused(GOOD))
@@ -250,7 +248,7 @@
 
 
 class TestUnrelatedCrashes:
-    """Upstreams that end without any request's fault, and the contents that were there."""
+    """Upstreams that crash for other reasons than a request, and the contents in flight."""
 
     async def test_upstreams_killed_together_hold_no_popular_read(
         self, nursery, autojump_clock
@@ -266,9 +264,9 @@
     async def test_long_stream_at_three_crashes_is_not_held(self, nursery, autojump_clock) -> None:
         fleet = Fleet(nursery)
         for number in range(4):
-            await fleet.crash(f"i-{number}", GOOD, elapsed_s=2.0)
+            await fleet.crash(f"i-{number}", GOOD, age_s=2.0)
             assert not any(fleet.refused(GOOD))
-        await fleet.crash("i-4", GOOD, elapsed_s=2.0)
+        await fleet.crash("i-4", GOOD, age_s=2.0)
         assert all(fleet.refused(GOOD)), "whoever was at five in a row is held"
 
     async def test_attempt_sent_after_the_crash_counts_for_less(
@@ -276,7 +274,7 @@
     ) -> None:
         fleet = Fleet(nursery)
         for number in range(3):
-            await fleet.crash(f"i-{number}", GOOD, elapsed_s=0.001)
+            await fleet.crash(f"i-{number}", GOOD, age_s=0.001)
         assert not any(fleet.refused(GOOD))
 
     async def test_complete_answer_releases_a_held_content(self, nursery, autojump_clock) -> None:
@@ -461,8 +459,8 @@
 
 
 BUSY_ROUTER_BREAKS = [
-    # When a router saw a run broken off, which one, at which life and of what, when it had sent
-    # that, and after how long it knew that the life had ended.
+    # When a router saw an attempt broken off, the router, the incarnation, the content, when the
+    # attempt was sent, and how long after the break the router knew of the crash; seconds.
     (0.150, 0, "c0", GOOD, 0.000, 0.001),
     (0.162, 1, "c0", BAD, 0.043, 0.009),
     (0.164, 1, "c0", GOOD, 0.033, 0.007),
@@ -482,19 +480,20 @@
 
 
 class TestBusyRouters:
-    """A read of all callers beside a bad content, seen by routers of which one stands for a while.
-
-    Story. On a busy machine a bad content and a second copy of it ended four of five engines within
-    0.33 s; a read was under way at each of them, at two since before the first end. The read was
-    held, refused from then on, and the bad content released. Evidence: the lines of three routers,
-    with the times below, 0 being the read's first sending. Cause: of several runs of a content at
-    one upstream only the last that broke off was kept, and of several routers' marks the first,
-    with its clock alone; so the read's ends counted as if it had been sent behind the ends before.
+    """A read that all callers make beside a bad content, while one router is stalled for a while.
+
+    Guards against holding the read in place of the bad content. On a busy machine two copies of a
+    bad content crashed four of five engines within 0.33 s. The read was in flight at each of them,
+    at two since before the first crash. It was held and refused from then on, and the bad content
+    was released: of several attempts of a content at one upstream only the last that broke off was
+    kept, and of several routers' observations only the first, with its clock alone, so the read's
+    attempts counted as if they had been sent after the crashes before. The times are those that
+    three routers logged, 0 being the first sending of the read.
     """
 
     @staticmethod
     def detector_of(fleet: Fleet, router: int) -> CrashDetector:
-        """Return a watch that tells a router's registry of ends as late as the lines say."""
+        """Return a detector that reports crashes to a router's registry as late as was logged."""
 
         async def probe(instance: Instance) -> ProbeResult:
             seen = [one for one in BUSY_ROUTER_BREAKS if one[1:3] == (router, instance.name)]
@@ -508,10 +507,10 @@
 
         return CrashDetector(probe, on_crash, fleet.nursery.start_soon)
 
-    async def play(self, fleet: Fleet) -> list[str]:
-        """Play the scene; return all contents that were held in it."""
+    async def replay(self, fleet: Fleet) -> list[str]:
+        """Replay the breaks; return all contents that became held."""
         held: list[str] = []
-        watches = [self.detector_of(fleet, number) for number in range(3)]
+        detectors = [self.detector_of(fleet, number) for number in range(3)]
         for registry in fleet.registries:
             registry.on_held = held.append
         await trio.sleep(PROPAGATION_S)
@@ -519,7 +518,7 @@
         for at, router, incarnation, content, sent_at, _ in BUSY_ROUTER_BREAKS:
             await trio.sleep_until(began + at)
             instance = Instance(incarnation, incarnation, f"{incarnation}:1", "z", "engine")
-            watches[router].note_broken(instance, UpstreamAttempt(content, began + sent_at))
+            detectors[router].note_broken(instance, UpstreamAttempt(content, began + sent_at))
         await trio.sleep(PROPAGATION_S)
         return held
 
@@ -529,7 +528,7 @@
     ) -> None:
         fleet = Fleet(nursery, routers=3)
         fleet.store.delay_s = delay_s
-        held = await self.play(fleet)
+        held = await self.replay(fleet)
         assert set(held) == {BAD}
         assert [registry.held for registry in fleet.registries] == [{BAD}] * 3
         later = fleet.start("r9")
@@ -538,26 +537,26 @@
 
 
 class TestLateStart:
-    """What a router that starts judges by what the store kept.
-
-    Story. A router was killed 0.1 s behind the third end of a bad content and started again. It
-    read the three marks, did not hold the content that both others held, and sent it to a fourth
-    upstream. Evidence: the lines of three routers, with the times below. Cause: a life's moment was
-    that of whichever mark was read last, there that of a request beside it, which was answered
-    soundly later and whose mark was written anew; so a second try seemed to have been sent before
-    the end of the first.
+    """A router that starts later assigns blame by the records that the store kept.
+
+    Guards against a verdict that depends on the order of the records. A router was killed 0.1 s
+    after the third crash of a bad content and started again. It read the three observations, didn't
+    hold the content that both others held, and sent it to a fourth upstream. A crash's time was
+    that of whichever observation was read last: here that of another request, which was answered
+    completely later and whose observation was therefore written anew. The second attempt seemed to
+    have been sent before the crash of the first. The times are those that three routers logged.
     """
 
-    LINES = [
+    LOGGED = [
         (0.071, 0, "c1", BAD, 0.000),
         (0.072, 0, "c1", OTHER, 0.010),
         (0.148, 0, "c2", OTHER, 0.081),
         (0.173, 0, "c2", BAD, 0.074),
         (0.436, 1, "c3", BAD, 0.367),
     ]
-    DETECTED_LATE = [(0.090, 0, "c1", OTHER, 0.010) if one[3] == OTHER else one for one in LINES]
+    DETECTED_LATE = [(0.090, 0, "c1", OTHER, 0.010) if one[3] == OTHER else one for one in LOGGED]
 
-    @pytest.mark.parametrize("lines", [LINES, DETECTED_LATE])
+    @pytest.mark.parametrize("lines", [LOGGED, DETECTED_LATE])
     async def test_it_holds_the_same_contents_as_the_others(
         self, nursery, autojump_clock, lines
     ) -> None:
@@ -566,9 +565,9 @@
         began = trio.current_time()
         for at, router, incarnation, content, sent_at in sorted(lines):
             await trio.sleep_until(began + at)
-            run = UpstreamAttempt(content, began + sent_at)
+            attempt = UpstreamAttempt(content, began + sent_at)
             fleet.registries[router].note_crash(
-                incarnation, incarnation, [BrokenAttempt(run, began + at)]
+                incarnation, incarnation, [BrokenAttempt(attempt, began + at)]
             )
         await trio.sleep(PROPAGATION_S)
         assert [registry.held for registry in fleet.registries] == [{BAD}] * 2
