--- a/railtide/containment/tests/test_blame.py
+++ b/railtide/containment/tests/test_blame.py
@@ -109,7 +109,7 @@
         crashes = {f"innocent {n}": seen & bad for n, seen in enumerate(beside)}
         blame = blame_of_crashes({"bad": bad} | crashes)
         if any(seen == bad for seen in crashes.values()):
-            return  # whoever was at each end can't be told from it
+            return  # one at every crash is indistinguishable from it
         assert set(blame.held) == {"bad"}
         assert blame.crash_count_by_content == {}
 
--- a/railtide/containment/tests/test_crash_detection.py
+++ b/railtide/containment/tests/test_crash_detection.py
@@ -93,8 +93,8 @@
         harness = DetectorHarness(nursery, ProbeResult.REFUSED)
         await trio.sleep(1.0)
         for elapsed_s in order:
-            run = UpstreamAttempt("a", trio.current_time() - elapsed_s)
-            harness.detector.note_broken(UPSTREAM, run)
+            attempt = UpstreamAttempt("a", trio.current_time() - elapsed_s)
+            harness.detector.note_broken(UPSTREAM, attempt)
             await trio.sleep(0.001)
         await harness.answer()
         assert [round(elapsed_s, 2) for elapsed_s in harness.elapsed_s] == [0.4]
--- a/railtide/containment/tests/test_observations.py
+++ b/railtide/containment/tests/test_observations.py
@@ -97,14 +97,16 @@
     def test_hold_grows_with_each_trial_and_the_third_is_the_last(self) -> None:
         observations = [CrashObservation("c", str(number), 10.0 * number) for number in range(7)]
         waits = [
-            held_until(observations[:ends], now=60.0) - observations[ends - 1].at
-            for ends in range(3, 8)
+            held_until(observations[:crashes], now=60.0) - observations[crashes - 1].at
+            for crashes in range(3, 8)
         ]
         assert waits == [BASE_HOLD_S, 4 * BASE_HOLD_S, 16 * BASE_HOLD_S, RETENTION_S, RETENTION_S]
 
     def test_retention_covers_the_trials(self) -> None:
         observations = [CrashObservation("c", str(number), 0.0) for number in range(5)]
-        assert sum(held_until(observations[:ends], now=0.0) for ends in (3, 4, 5)) <= RETENTION_S
+        assert (
+            sum(held_until(observations[:crashes], now=0.0) for crashes in (3, 4, 5)) <= RETENTION_S
+        )
 
     def test_beyond_the_bound_those_with_least_evidence_are_dropped(self) -> None:
         observation_set = ObservationSet()
--- a/railtide/containment/tests/test_registry.py
+++ b/railtide/containment/tests/test_registry.py
@@ -267,7 +267,7 @@
             await fleet.crash(f"i-{number}", GOOD, age_s=2.0)
             assert not any(fleet.refused(GOOD))
         await fleet.crash("i-4", GOOD, age_s=2.0)
-        assert all(fleet.refused(GOOD)), "whoever was at five in a row is held"
+        assert all(fleet.refused(GOOD)), "a content at five crashes in a row is held"
 
     async def test_attempt_sent_after_the_crash_counts_for_less(
         self, nursery, autojump_clock
--- a/railtide/edge/__init__.py
+++ b/railtide/edge/__init__.py
@@ -1,1 +1,1 @@
-"""A router that needs no process beside it: budgets, roster and configuration from the store."""
+"""A router without local services: budgets, roster and configuration are read from the store."""
--- a/railtide/edge/node.py
+++ b/railtide/edge/node.py
@@ -1,4 +1,4 @@
-"""The edge router: its parts put together, and its life from start to a graceful shutdown."""
+"""The edge router: composition of its parts, and its lifecycle up to a graceful shutdown."""
 
 from collections.abc import Awaitable, Callable
 from functools import partial
@@ -43,14 +43,14 @@
 
 __all__ = ["EdgeNode"]
 
-DRAIN_TICK_S = 0.02
-READY_TICK_S = 0.05
-"""Between two looks at whether a start is over."""
+DRAIN_POLL_S = 0.02
+READY_POLL_S = 0.05
+"""Interval of the checks whether the router has become ready."""
 OBSERVATIONS_WAIT_S = 3.0
-"""From the start until a router serves without the marks of contents that end upstreams: their
-topic may be away alone, and a router that serves without them may cost one upstream more."""
-RETURN_S = 0.5
-"""Longest wait at a shutdown for the store to take back what is in hand."""
+"""Time from the start after which a router serves without the crash observations: their topic alone
+may be unreachable, and a router that serves without them may cost one more upstream."""
+RETURN_TIMEOUT_S = 0.5
+"""Longest wait at a shutdown for the store to take back this router's budget allocations."""
 
 
 class EdgeNode:
@@ -67,7 +67,7 @@
     clocks : Clocks, optional
         See `LedgerTreasury`.
     suspensions : Suspensions, optional
-        The machine's own unless given.
+        Those of the machine by default.
 
     Attributes
     ----------
@@ -79,7 +79,7 @@
     wait_until_current : callable
         See `WakeHandler.wait_until_current`.
     leaving : bool
-        Set by a shutdown: other routers are to be used.
+        Set by a shutdown: callers should use other routers.
     """
 
     def __init__(
@@ -108,14 +108,14 @@
         member = Member(
             identity.incarnation, identity.address, identity.failure_domain, 0, options.capacity
         )
-        self._load = RequestRate()
+        self._request_rate = RequestRate()
         self.roster = Roster(
             store,
             identity.instance,
             member,
             options.roster,
             rng,
-            self._load.per_second,
+            self._request_rate.per_second,
             lambda: self._freshness.is_behind(),
             lambda: self.treasury.read_ends(),
             lambda: self._pools.limit_news(),
@@ -139,7 +139,7 @@
             upstreams,
             rng,
             self._lapse_until,
-            lambda lives: self._ends.note_listed(lives),
+            lambda instances: self._crash_detector.note_listed(instances),
         )
         self.schedulers_by_pool = self._pools.schedulers_by_pool
         self.apply_notice = self._pools.apply_notice
@@ -150,8 +150,8 @@
             sources.configuration_topic,
             FeedOptions(wait_s=options.configuration_wait_s, newest_suffice=True),
             rng,
-            self._take_configuration,
-            self._keep_drains,
+            self._apply_configuration_records,
+            self._retain_drained,
         )
         self._freshness = ConfigurationFreshness(
             self._configuration_feed,
@@ -167,21 +167,25 @@
                 wait_s=options.configuration_wait_s, pause_s=options.upstream_read_interval_s
             ),
             rng,
-            self._take_upstreams,
+            self._apply_upstream_records,
             self._pools.listed.keep_only,
             self._upstream_read_interval_s,
         )
-        self._crashes = CrashRegistry(
+        self._crash_registry = CrashRegistry(
             store, identity.instance, rng, self.counters, self._is_owner_of
         )
-        self._crashes.on_crash = self._pools.eject_incarnation
-        self._waking = WakeHandler(
+        self._crash_registry.on_crash = self._pools.eject_incarnation
+        self._wake_handler = WakeHandler(
             suspensions or Suspensions(),
-            [self._configuration_feed.refresh, self._upstream_feed.refresh, self._crashes.refresh],
+            [
+                self._configuration_feed.refresh,
+                self._upstream_feed.refresh,
+                self._crash_registry.refresh,
+            ],
             lambda: self.counters.add("suspensions"),
         )
-        self.wait_until_current = self._waking.wait_until_current
-        self._ends = CrashDetector(upstreams.probe, self._note_end, self._start_soon)
+        self.wait_until_current = self._wake_handler.wait_until_current
+        self._crash_detector = CrashDetector(upstreams.probe, self._note_crash, self._start_soon)
         services = Services(
             upstreams,
             options.requests,
@@ -193,18 +197,18 @@
             self._start_soon,
             ledger_cover_maker(self.treasury.count_bill),
             pass_through_relay,
-            CrashGuard(self._crashes, self._ends),
+            CrashGuard(self._crash_registry, self._crash_detector),
         )
         self._dispatcher = Dispatcher(self.treasury, self.schedulers_by_pool.get, services)
 
-    # -- life ---------------------------------------------------------------------------------
+    # -- lifecycle ----------------------------------------------------------------------------
 
     @property
     def ready(self) -> bool:
-        """True while callers should be sent here.
+        """True while callers should be sent to this router.
 
-        A router that is behind still serves what it knows while no other stands in for it; see
-        `check_not_superseded`.
+        A router whose configuration is outdated still serves by it while no other router
+        substitutes for it; see `check_not_superseded`.
         """
         return self.serves and not self._freshness.is_behind()
 
@@ -212,20 +216,22 @@
     def serves(self) -> bool:
         """True once configuration, upstreams and budgets are known, until the shutdown."""
         known = self.snapshot is not None and self.upstreams_known
-        return known and self.treasury.ready and self._marks_known() and not self.leaving
+        return known and self.treasury.ready and self._observations_known() and not self.leaving
 
-    def _marks_known(self) -> bool:
-        """Return whether it is known which contents end upstreams, or that can't be read now.
+    def _observations_known(self) -> bool:
+        """Return whether the crash observations were read, or can't be read now.
 
-        Without, a router that starts sends what all others hold to one more upstream.
+        Without this condition, a router that starts sends a content that all others hold to one
+        more upstream.
         """
         return (
-            self._crashes.caught_up or trio.current_time() - self._began_at >= OBSERVATIONS_WAIT_S
+            self._crash_registry.caught_up
+            or trio.current_time() - self._began_at >= OBSERVATIONS_WAIT_S
         )
 
     @property
     def drained_domains(self) -> frozenset[str]:
-        """The failure domains to whose upstreams nothing new is sent, by the operator's order."""
+        """The failure domains that the operator drains: their upstreams get no new requests."""
         return self._pools.drained.names
 
     @property
@@ -239,15 +245,19 @@
             self._nursery = nursery
             nursery.start_soon(self._configuration_feed.run)
             nursery.start_soon(self._upstream_feed.run)
-            nursery.start_soon(self._run_settling)
-            nursery.start_soon(self._crashes.run)
-            nursery.start_soon(self._say_when_ready)
+            nursery.start_soon(self._run_periodic_checks)
+            nursery.start_soon(self._crash_registry.run)
+            nursery.start_soon(self._log_when_ready)
             nursery.start_soon(self.treasury.run)
-            nursery.start_soon(self._run_spreading)
+            nursery.start_soon(self._run_budget_spreading)
             nursery.start_soon(partial(self.roster.run, lambda: self.serves))
 
     async def drain(self) -> None:
-        """Leave: be named to no caller, serve those who still come, finish, give back."""
+        """Shut down gracefully.
+
+        The router stops being advertised, serves late callers, finishes requests in flight and
+        returns its budget allocations.
+        """
         began = trio.current_time()
         logger.bind(open_calls=self.open_calls).info("leaving")
         self.leaving = True
@@ -256,44 +266,44 @@
         await trio.sleep_until(began + self.options.shutdown_accept_s)
         with trio.move_on_at(began + self.options.shutdown_timeout_s):
             while self.open_calls:
-                await trio.sleep(DRAIN_TICK_S)
-        with trio.move_on_after(RETURN_S):
+                await trio.sleep(DRAIN_POLL_S)
+        with trio.move_on_after(RETURN_TIMEOUT_S):
             await self.treasury.give_back_all()
         logger.bind(open_calls=self.open_calls).info("left")
 
-    async def _run_spreading(self) -> None:
-        """Let budgets be spread over the routers once all that live have written to the roster."""
+    async def _run_budget_spreading(self) -> None:
+        """Let budgets be spread over the routers once all live ones have written to the roster."""
         while not self.roster.caught_up:
             await trio.sleep(self.options.settle_interval_s)
         await trio.sleep(self.options.roster.dead_after_s)
         self.treasury.spread()
 
-    async def _say_when_ready(self) -> None:
+    async def _log_when_ready(self) -> None:
         while not self.ready:
-            await trio.sleep(READY_TICK_S)
+            await trio.sleep(READY_POLL_S)
         since_start_s = round(trio.current_time() - self._began_at, 3)
         logger.bind(since_start_s=since_start_s).info("ready")
 
-    async def _run_settling(self) -> None:
+    async def _run_periodic_checks(self) -> None:
         while True:
             await trio.sleep(self.options.settle_interval_s)
-            self._waking.look()
+            self._wake_handler.check()
             self._pools.settle()
-            self._freshness.look(self._version())
+            self._freshness.check(self._version_in_force())
 
-    # -- how new the configuration is ---------------------------------------------------------
+    # -- freshness of the configuration -------------------------------------------------------
 
     def configuration_is_current(self) -> bool:
         """Return whether a refusal by the configuration in force may be final."""
         return self._freshness.is_current()
 
     def check_not_superseded(self) -> None:
-        """Refuse to serve by a configuration that has been replaced for longer than it may.
+        """Refuse to serve by a configuration that was replaced longer ago than allowed.
 
-        Callers with an old list of addresses, or on open connections, still come to a router that
-        is behind, and it can't know what the newer version drops. While routers that have it stand
-        in, such a caller is served by its next try; where none does, a refusal would end all
-        service.
+        Callers with an old list of addresses, or on open connections, still send to a router whose
+        configuration is outdated, and the router can't know what the newer version removes. While
+        routers with the newer version substitute for it, the next try of such a caller is served;
+        where none does, a refusal would end all service.
 
         Raises
         ------
@@ -301,20 +311,20 @@
             Other routers serve by a newer version.
         """
         if self._freshness.is_behind() and self.roster.is_stood_in_for():
-            raise self._freshness.replaced(self._version())
+            raise self._freshness.superseded(self._version_in_force())
 
     def refusal_for_caller(self, refusal: RailtideError) -> RailtideError:
-        """Return what a caller is told: a refusal, or that it may rest on an old configuration."""
+        """Return a refusal as it is, or as possibly due to an outdated configuration."""
         if not refusal.rests_on_configuration or self.configuration_is_current():
             return refusal
-        return self._freshness.outdated(refusal, self._version())
+        return self._freshness.outdated(refusal, self._version_in_force())
 
     def limits_retry_after_s(self) -> float | None:
-        """Return when a caller that the limits in force refuse may come back, None for never."""
+        """Return the retry time for a request beyond the limits in force, None if that is final."""
         if self.configuration_is_current():
             return None
         self.counters.add("answers_configuration_outdated")
-        return self._freshness.note_outdated(self._version())
+        return self._freshness.note_outdated(self._version_in_force())
 
     def read_ages_s(self) -> dict[str, float]:
         """Return the seconds since each topic was last read to its end."""
@@ -322,18 +332,18 @@
             self._sources.configuration_topic: self._configuration_feed.freshness.read_at,
             self._sources.upstream_topic: self._upstream_feed.freshness.read_at,
             self.options.roster.topic: self.roster.read_at,
-            CRASHES_TOPIC: self._crashes.read_at,
+            CRASHES_TOPIC: self._crash_registry.read_at,
         }
         return ages_s(read_at_by_topic, self._began_at)
 
-    def _version(self) -> int | None:
+    def _version_in_force(self) -> int | None:
         return self.snapshot.version if self.snapshot else None
 
     # -- serving ------------------------------------------------------------------------------
 
     async def serve(self, call: Call, sink: AnswerSink) -> None:
         """Answer a call; see `Dispatcher.serve`."""
-        self._load.note()
+        self._request_rate.note()
         self.open_calls += 1
         try:
             await self._dispatcher.serve(call, sink)
@@ -342,14 +352,14 @@
 
     def addresses(self, failure_domain: str) -> list[Entrance]:
         """Return the routers that a caller may use, those of its failure domain first."""
-        named = list(self.roster.named())
-        self._rng.shuffle(named)
-        named.sort(key=lambda entrance: entrance.failure_domain != failure_domain)
-        return named[: self.options.max_addresses]
+        advertised = list(self.roster.named())
+        self._rng.shuffle(advertised)
+        advertised.sort(key=lambda entrance: entrance.failure_domain != failure_domain)
+        return advertised[: self.options.max_addresses]
 
-    # -- what the store says ------------------------------------------------------------------
+    # -- records of the store -----------------------------------------------------------------
 
-    def _take_configuration(self, records: list[KeyedRecord]) -> None:
+    def _apply_configuration_records(self, records: list[KeyedRecord]) -> None:
         for record in records:
             drained = self._sources.drained_domain_of(record.key)
             if drained is not None:
@@ -362,26 +372,28 @@
                 logger.bind(offset=record.offset, error=err.detail).error("configuration-invalid")
                 continue
             if snapshot is not None:
-                self._apply(snapshot)
+                self._apply_snapshot(snapshot)
 
-    def _keep_drains(self, keys: set[str]) -> None:
-        """Take the keys of all orders that there are."""
+    def _retain_drained(self, keys: set[str]) -> None:
+        """Keep only the drain orders whose keys exist, given all keys of the topic."""
         domains = {self._sources.drained_domain_of(key) for key in keys}
         self._pools.drained.keep_only(domains - {None})
 
-    def _apply(self, snapshot: Snapshot) -> None:
-        held = self._version()
-        self._freshness.note_shown(is_older=held is not None and snapshot.version < held)
-        if held is not None and snapshot.version <= held:
-            logger.bind(version=snapshot.version, held=held).info("configuration-older")
+    def _apply_snapshot(self, snapshot: Snapshot) -> None:
+        current = self._version_in_force()
+        self._freshness.note_version_read(
+            is_older=current is not None and snapshot.version < current
+        )
+        if current is not None and snapshot.version <= current:
+            logger.bind(version=snapshot.version, held=current).info("configuration-older")
             return
         self.snapshot = snapshot
         self.treasury.set_prepaid(dict(snapshot.prepaid_by_account))
         self._pools.set_configuration(snapshot.pool_by_name)
         self.on_snapshot(snapshot)
-        logger.bind(version=snapshot.version, before=held).info("configuration-in-force")
+        logger.bind(version=snapshot.version, before=current).info("configuration-in-force")
 
-    def _take_upstreams(self, records: list[KeyedRecord]) -> None:
+    def _apply_upstream_records(self, records: list[KeyedRecord]) -> None:
         for record in records:
             if not record.value:
                 self._pools.listed.remove(record.key)
@@ -393,7 +405,7 @@
         self._pools.listed.settle()
 
     def _lapse_until(self) -> float:
-        """Return until when a removed record may have lapsed with the store away."""
+        """Return until when a removal may only mean that a record lapsed during an outage."""
         feed = self._upstream_feed
         if not feed.caught_up or feed.back_at < feed.lost_at:
             return trio.current_time() + RETURN_GRACE_S
@@ -401,44 +413,44 @@
             return trio.current_time()
         return feed.back_at + RETURN_GRACE_S
 
-    # -- upstreams that end -------------------------------------------------------------------
+    # -- upstream crashes ---------------------------------------------------------------------
 
-    def _note_end(self, instance: Instance, breaks: list[BrokenAttempt]) -> None:
-        self._crashes.note_crash(instance.incarnation, instance.name, breaks)
+    def _note_crash(self, instance: Instance, broken_attempts: list[BrokenAttempt]) -> None:
+        self._crash_registry.note_crash(instance.incarnation, instance.name, broken_attempts)
 
     def _is_owner_of(self, content: str) -> bool:
-        """Return whether this router makes the trials of a content that is held."""
-        names = self._named_routers()
+        """Return whether this router makes the trials of a held content."""
+        names = self._advertised_names()
         return bool(names) and rendezvous_order(content, names)[0] == self.identity.instance
 
-    # -- what the parts ask -------------------------------------------------------------------
+    # -- callbacks of the parts ---------------------------------------------------------------
 
-    def _named_routers(self) -> list[str]:
+    def _advertised_names(self) -> list[str]:
         return [entrance.name for entrance in self.roster.named()]
 
     def _sharing_routers(self) -> int:
-        """Return how many routers keep budgets in hand, 0 if this one is not to."""
+        """Return how many routers hold budget allocations, 0 if this one must not."""
         return len(self.roster.named()) if self.roster.is_named() else 0
 
     def _upstream_read_interval_s(self) -> float:
-        named = self.roster.is_named()
+        is_advertised = self.roster.is_named()
         return (
             self.options.upstream_read_interval_s
-            if named
+            if is_advertised
             else self.options.idle_upstream_read_interval_s
         )
 
     def _retries_of(self, pool: str) -> RetryBudget:
-        """Return a pool's retry budget, with this router's part of what all may save up.
+        """Return a pool's retry budget, limited to this router's part of the shared slack.
 
-        Those that are named share it, and those that are not share as much again.
+        The advertised routers share the slack, and the others share as much again.
         """
-        saved = self.options.retry_slack / (self._sharing_routers() or len(self.roster.live()) or 1)
+        slack = self.options.retry_slack / (self._sharing_routers() or len(self.roster.live()) or 1)
         budget = self._retries_by_pool.get(pool)
         if budget is None:
-            budget = RetryBudget(self.options.retries_per_request, saved, saved)
+            budget = RetryBudget(self.options.retries_per_request, slack, slack)
             self._retries_by_pool[pool] = budget
-        budget.most = saved
+        budget.most = slack
         return budget
 
     def _start_soon(self, work: Callable[..., Awaitable[None]], *arguments: object) -> None:
--- a/railtide/edge/options.py
+++ b/railtide/edge/options.py
@@ -1,4 +1,4 @@
-"""Options of an edge router, in seconds and shares."""
+"""Options of an edge router."""
 
 from dataclasses import dataclass, field
 
@@ -11,36 +11,37 @@
 
 @dataclass(frozen=True)
 class EdgeOptions:
-    """How an edge router behaves.
+    """Tunable behaviour of an edge router.
 
     Attributes
     ----------
     requests, ledger, roster
-        Options of those parts.
+        Options of the request path, of the budget ledger and of the roster.
     configuration_wait_s : float
-        How long a read of the configuration waits; bounds how late a silent store is noticed.
+        How long a read of the configuration or of the upstreams' records waits for a new record;
+        bounds how late an unresponsive store is noticed.
     upstream_read_interval_s : float
-        Least time between two reads of the upstreams' records. Their heartbeats come several
-        times a second; a leaving upstream may be sent work for seconds.
+        Least time between two reads of the upstreams' records. Their heartbeats come several times
+        a second, and users allow seconds in which a leaving upstream is still sent work.
     idle_upstream_read_interval_s : float
-        The same of a router that callers are not sent to. Half of the shortest time in which the
-        users allow work for a leaving upstream.
+        The same for a router that is not advertised to callers: half of the shortest time for which
+        users allow a leaving upstream to be sent work.
     capacity : float
         Requests a second that the instance can carry.
     settle_interval_s : float
-        Time between two looks at upstreams that are about to be dropped.
+        Time between two checks for pending removals, suspensions and outdated configuration.
     retries_per_request : float
-        Retries that a request earns for its pool.
+        Retries that each request adds to its pool's retry budget.
     retry_slack : float
-        Retries that all routers together may have saved up for a pool.
+        Unused retries that all routers together may accumulate for a pool.
     address_ttl_s : float
-        How long callers keep an answer with addresses.
+        How long callers use an answer with routers' addresses.
     max_addresses : int
-        Addresses in one answer.
+        Most addresses in one answer.
     shutdown_accept_s : float
         How long after SIGTERM new requests are still served: until callers have new addresses.
     shutdown_timeout_s : float
-        How long after SIGTERM the process ends at the latest.
+        How long after SIGTERM requests in flight may still finish.
     """
 
     requests: RequestOptions = field(default_factory=RequestOptions)
--- a/railtide/edge/peers.py
+++ b/railtide/edge/peers.py
@@ -1,4 +1,4 @@
-"""What the roster tells a router's budgets of the other routers."""
+"""Adapts the roster to what budgets need to know of the other routers."""
 
 from collections.abc import Mapping
 
@@ -9,7 +9,7 @@
 
 
 class RosterPeers(Peers):
-    """The routers in a roster.
+    """Peers taken from a roster.
 
     Parameters
     ----------
--- a/railtide/edge/pools.py
+++ b/railtide/edge/pools.py
@@ -1,4 +1,4 @@
-"""The pools of an edge router: their schedulers, and what they are told of their upstreams."""
+"""The upstream pools of an edge router: a scheduler for each, and the routing of updates to it."""
 
 from collections.abc import Callable, Mapping
 from random import Random
@@ -25,21 +25,21 @@
 
 
 class EdgePools:
-    """Keeps a scheduler for each pool of the listed upstreams.
+    """Maintains a scheduler for each pool of the listed upstreams.
 
     Parameters
     ----------
-    own : str
+    own_name : str
         Name of this router's instance.
     roster : Roster
-        Which routers share what upstreams take.
+        The routers that share the capacity of the upstreams.
     upstreams : UpstreamClient
-        Told of lives that are gone.
+        Forgets incarnations that are no longer listed.
     rng : random.Random
     lapse_until : callable
         See `UpstreamList`.
     on_listed : callable
-        Told of lives that are new.
+        Called with newly listed incarnations.
 
     Attributes
     ----------
@@ -50,7 +50,7 @@
 
     def __init__(
         self,
-        own: str,
+        own_name: str,
         roster: Roster,
         upstreams: UpstreamClient,
         rng: Random,
@@ -65,15 +65,15 @@
         self._on_listed = on_listed
         self._slow_start_by_pool: dict[str, SlowStart] = {}
         self._slow_start_shares = SlowStartShares(
-            own, lambda: [entrance.name for entrance in roster.named()]
+            own_name, lambda: [entrance.name for entrance in roster.named()]
         )
-        self._limit_shares = LimitShares(own, roster.visits)
+        self._limit_shares = LimitShares(own_name, roster.visits)
         roster.on_limits = self.take_limit_news
 
-    # -- what the store says ------------------------------------------------------------------
+    # -- records of the store -----------------------------------------------------------------
 
     def set_configuration(self, settings_by_pool: Mapping[str, PoolSettings]) -> None:
-        """Take what is configured of each pool."""
+        """Apply the configuration of each pool."""
         self._slow_start_by_pool = {
             pool: settings.slow_start for pool, settings in settings_by_pool.items()
         }
@@ -81,13 +81,13 @@
             self._set_slow_start(pool)
 
     def settle(self) -> None:
-        """Drop what is gone by now: upstreams, and orders that were not written again."""
+        """Apply removals that are due, of upstreams and of drain orders not written again."""
         self.listed.settle()
         self.drained.settle()
 
     def _set_pool(self, pool: str, instances: list[Instance]) -> None:
         if pool not in self.schedulers_by_pool:
-            self._add(pool)
+            self._add_pool(pool)
         scheduler = self.schedulers_by_pool[pool]
         before = _by_incarnation(scheduler)
         scheduler.set_upstreams(instances)
@@ -96,7 +96,7 @@
             self._upstreams.forget(before[incarnation])
         self._on_listed([after[new] for new in after.keys() - before.keys()])
 
-    def _add(self, pool: str) -> None:
+    def _add_pool(self, pool: str) -> None:
         choice = Separation(PrefixAffinity(TwoChoices(self._rng)))
         scheduler = PoolScheduler(choice, urgent_share=0, trusts_list=True)
         scheduler.set_drained(self.drained.names)
@@ -114,11 +114,11 @@
         for scheduler in self.schedulers_by_pool.values():
             scheduler.set_drained(domains)
 
-    # -- what upstreams and other routers say -------------------------------------------------
+    # -- notices of upstreams and other routers -----------------------------------------------
 
     def apply_notice(self, upstream: Instance, notice: UpstreamNotice) -> None:
-        """Take what an answer says of its upstream; a former life says nothing of this one."""
-        scheduler = self._scheduler_of_life(upstream)
+        """Apply what an answer reports of its upstream, unless a former incarnation sent it."""
+        scheduler = self._scheduler_of_incarnation(upstream)
         if scheduler is None:
             return
         if notice.load:
@@ -131,34 +131,34 @@
             self.listed.note_leaving(upstream)
             self.listed.settle()
 
-    def _scheduler_of_life(self, upstream: Instance) -> PoolScheduler | None:
-        """Return the scheduler of an upstream's pool if it knows this life of the upstream."""
+    def _scheduler_of_incarnation(self, upstream: Instance) -> PoolScheduler | None:
+        """Return the scheduler of an upstream's pool if it has this incarnation of the upstream."""
         scheduler = self.schedulers_by_pool.get(upstream.pool)
         known = scheduler.by_name.get(upstream.name) if scheduler else None
         is_same = known is not None and known.instance.incarnation == upstream.incarnation
         return scheduler if is_same else None
 
     def limit_news(self) -> tuple[LimitNews, ...]:
-        """Return what other routers are to be told of upstreams' limits."""
+        """Return the limits of upstreams to be published to other routers."""
         schedulers = self.schedulers_by_pool.values()
         return tuple(news for scheduler in schedulers for news in scheduler.notices.limit_news())
 
-    def take_limit_news(self, told: tuple[LimitNews, ...]) -> None:
-        """Take what another router tells of upstreams' limits."""
+    def take_limit_news(self, updates: tuple[LimitNews, ...]) -> None:
+        """Apply the limits of upstreams that another router published."""
         heard_at = trio.current_time()
-        for news in told:
+        for news in updates:
             for scheduler in self.schedulers_by_pool.values():
                 scheduler.notices.take_limit_news(news, heard_at)
 
-    def eject_incarnation(self, life: str) -> None:
-        """Use a life that ended no more, by its digest, whichever router saw its end."""
+    def eject_incarnation(self, digest: str) -> None:
+        """Stop using a crashed incarnation, given its digest, whichever router saw the crash."""
         for scheduler in self.schedulers_by_pool.values():
             for upstream in scheduler.by_name.values():
-                if incarnation_digest(upstream.instance.incarnation) == life:
+                if incarnation_digest(upstream.instance.incarnation) == digest:
                     note_end(upstream, trio.current_time())
 
 
 def _by_incarnation(scheduler: PoolScheduler) -> dict[str, Instance]:
-    """Return the lives of a pool's upstreams."""
+    """Return a pool's upstreams by incarnation."""
     known = [upstream.instance for upstream in scheduler.by_name.values()]
     return {instance.incarnation: instance for instance in known}
--- a/railtide/edge/request_rate.py
+++ b/railtide/edge/request_rate.py
@@ -1,4 +1,4 @@
-"""How many requests a second a router is asked, held for a while after a peak."""
+"""The request rate of a router, with a slowly decaying peak."""
 
 import math
 from collections.abc import Callable
@@ -8,15 +8,14 @@
 __all__ = ["RequestRate"]
 
 WINDOW_S = 4.0
-"""Over which requests are averaged: a burst shows within seconds, and a second without one does
-not."""
-HOLD_S = 30.0
-"""In which a peak fades. Callers move to other addresses when fewer routers are named, so that
-number falls more slowly than it rises."""
+"""Averaging window: a burst shows within seconds, and one second without requests hardly does."""
+PEAK_DECAY_S = 30.0
+"""Time constant with which a peak decays. Callers move to other addresses when fewer routers are
+named, so the number of named routers must fall more slowly than it rises."""
 
 
 class RequestRate:
-    """The rate of one router's requests.
+    """The exponentially weighted request rate of one router.
 
     Parameters
     ----------
@@ -44,12 +43,12 @@
         now = self._clock()
         self._rate = self._rate * math.exp((self._rate_at - now) / WINDOW_S) + 1 / WINDOW_S
         self._rate_at = now
-        if self._rate > self._held(now):
+        if self._rate > self._decayed_peak(now):
             self._peak, self._peak_at = self._rate, now
 
     def per_second(self) -> float:
-        """Return the rate, no less than what is left of its last peak."""
-        return self._held(self._clock())
+        """Return the decayed peak of the rate, which is never below the current rate."""
+        return self._decayed_peak(self._clock())
 
-    def _held(self, now: float) -> float:
-        return self._peak * math.exp((self._peak_at - now) / HOLD_S)
+    def _decayed_peak(self, now: float) -> float:
+        return self._peak * math.exp((self._peak_at - now) / PEAK_DECAY_S)
--- a/railtide/edge/sources.py
+++ b/railtide/edge/sources.py
@@ -1,4 +1,4 @@
-"""What an edge router is told from outside, as topics and the way to read their records."""
+"""The platform's topics that an edge router reads, and how their records are decoded."""
 
 from abc import ABC, abstractmethod
 
@@ -22,28 +22,28 @@
 
     @abstractmethod
     def snapshot_of(self, record: KeyedRecord) -> Snapshot | None:
-        """Return the configuration in a record, None for a record of something else.
+        """Decode the configuration in a record; return None for a record of another kind.
 
         Raises
         ------
         InvalidObject
-            It can't be read.
+            It can't be decoded.
         """
 
     @abstractmethod
     def drained_domain_of(self, key: str) -> str | None:
         """Return the failure domain that a key of the configuration's topic orders to be drained.
 
-        None for the key of something else. A record of such a key is an order whatever its value
-        is, and its removal takes the order back.
+        None for any other key. A record with such a key is an order whatever its value is, and its
+        removal revokes the order.
         """
 
     @abstractmethod
     def upstream_of(self, record: KeyedRecord) -> Instance:
-        """Return the upstream in a record.
+        """Decode the upstream in a record.
 
         Raises
         ------
         InvalidObject
-            It can't be read.
+            It can't be decoded.
         """
--- a/railtide/edge/tests/test_freshness.py
+++ b/railtide/edge/tests/test_freshness.py
@@ -28,7 +28,7 @@
 from railtide.standins.keyed_store import MemoryStore
 
 READ_WAIT_S = 2.0
-MOST_RETRY_S = 1.0
+MAX_RETRY_S = 1.0
 SLACK_S = 0.01
 
 
@@ -56,7 +56,7 @@
 
 def made() -> tuple[KnownFeed, ConfigurationFreshness]:
     feed = KnownFeed()
-    return feed, ConfigurationFreshness(feed, READ_WAIT_S, MOST_RETRY_S)
+    return feed, ConfigurationFreshness(feed, READ_WAIT_S, MAX_RETRY_S)
 
 
 class TestCurrent:
@@ -98,7 +98,7 @@
 
 class TestRetryAfter:
     @pytest.mark.parametrize(
-        ("left", "told"), [(None, DEFAULT_RETRY_S), (0.3, 0.3), (0.05, 0.05), (7.0, MOST_RETRY_S)]
+        ("left", "told"), [(None, DEFAULT_RETRY_S), (0.3, 0.3), (0.05, 0.05), (7.0, MAX_RETRY_S)]
     )
     async def test_is_what_is_left_of_the_transfer(self, left, told, autojump_clock) -> None:
         feed, freshness = made()
@@ -112,15 +112,15 @@
         for _ in range(2):
             await trio.sleep(1.0)
             feed.reachable = False
-            freshness.look(4)
+            freshness.check(4)
             for _ in range(3):
                 freshness.outdated(UnknownRoute(), 4)
-                freshness.look(4)
+                freshness.check(4)
             await trio.sleep(1.0)
             feed.reachable = True
             feed.freshness.read_at = trio.current_time()
-            freshness.look(5)
-            freshness.look(5)
+            freshness.check(5)
+            freshness.check(5)
         told = [(line["event"], line["version"]) for line in lines]
         assert told == [("configuration-behind", 4), ("configuration-current", 5)] * 2
         assert [line["answers"] for line in lines if "answers" in line] == [3, 3]
@@ -130,11 +130,11 @@
         feed, freshness = made()
         feed.freshness.behind_since = trio.current_time()
         for _ in range(9):
-            freshness.look(1)
+            freshness.check(1)
             await trio.sleep(MAX_BEHIND_S / 10)
         feed.freshness.behind_since = None
         feed.freshness.read_at = trio.current_time()
-        freshness.look(2)
+        freshness.check(2)
         assert lines == []
 
 
@@ -244,7 +244,7 @@
         callers.write({"a"})
         options = FeedOptions(wait_s=READ_WAIT_S)
         feed = Feed(callers.store, "t", options, Random(1), callers.take)
-        freshness = ConfigurationFreshness(feed, READ_WAIT_S, MOST_RETRY_S)
+        freshness = ConfigurationFreshness(feed, READ_WAIT_S, MAX_RETRY_S)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(feed.run)
             nursery.start_soon(callers.ask_on, freshness)
--- a/railtide/edge/tests/test_request_rate.py
+++ b/railtide/edge/tests/test_request_rate.py
@@ -1,6 +1,6 @@
 """Tests of railtide.edge.request_rate."""
 
-from railtide.edge.request_rate import HOLD_S, WINDOW_S, RequestRate
+from railtide.edge.request_rate import PEAK_DECAY_S, WINDOW_S, RequestRate
 
 
 class Clock:
@@ -31,7 +31,7 @@
     def test_falls_slowly_behind_a_peak(self) -> None:
         clock = Clock()
         rate = after_steady_requests(clock, 10, 5 * round(WINDOW_S))
-        clock.now += HOLD_S / 10
+        clock.now += PEAK_DECAY_S / 10
         assert rate.per_second() > 8
-        clock.now += 5 * HOLD_S
+        clock.now += 5 * PEAK_DECAY_S
         assert rate.per_second() < 0.2
--- a/railtide/edge/wake_handler.py
+++ b/railtide/edge/wake_handler.py
@@ -1,4 +1,4 @@
-"""What a router does when its machine wakes from a suspension: it reads anew what it believed."""
+"""Recovery after a suspension of the machine: everything read before is read again."""
 
 from collections.abc import Callable, Sequence
 
@@ -10,20 +10,20 @@
 __all__ = ["WakeHandler"]
 
 MAX_REREAD_WAIT_S = 0.3
-"""Longest wait of a request, after a suspension, for what is read anew: four reads of a store that
-answers in milliseconds, with a lost opening packet of a connection of some milliseconds."""
+"""Longest wait of a request, after a suspension, for the rereads: four reads of a store that
+answers in milliseconds, with one lost opening packet of a connection of some milliseconds."""
 
 
 class WakeHandler:
-    """Notices suspensions and has what was believed before read anew.
+    """Detects suspensions and has all state that may be outdated read again.
 
     Parameters
     ----------
     suspensions : Suspensions
     refreshes : sequence of callable
-        Each begins to read one thing anew, and returns what is set once it was read.
+        Each starts a reread, and returns an event that is set once it is done.
     on_woken : callable
-        Told of each suspension.
+        Called at each suspension.
     """
 
     def __init__(
@@ -38,8 +38,8 @@
         self._rereads: list[trio.Event] = []
         self._reread_until = 0.0
 
-    def look(self) -> None:
-        """Read anew what was believed before a suspension, and say so."""
+    def check(self) -> None:
+        """Start the rereads if the machine was suspended since the last call, and log it."""
         suspended_s = self._suspensions.look()
         if not suspended_s:
             return
@@ -49,11 +49,12 @@
         self._reread_until = trio.current_time() + MAX_REREAD_WAIT_S
 
     async def wait_until_current(self) -> None:
-        """Wait for what is read anew; a store that is away is not waited for long.
+        """Wait for rereads in progress, for at most `MAX_REREAD_WAIT_S` after the suspension.
 
-        Without, the first requests after a suspension go where routes and upstreams were before.
+        Without this wait, the first requests after a suspension are sent by outdated routes to
+        outdated upstreams.
         """
-        self.look()
+        self.check()
         if not self._rereads:
             return
         with trio.move_on_at(self._reread_until):
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -322,7 +322,7 @@
     Mutant(
         "configuration-reverts",
         "edge/node.py",
-        "if held is not None and snapshot.version <= held:",
+        "if current is not None and snapshot.version <= current:",
         "if False:",
         (PLATFORM,),
     ),
@@ -1093,7 +1093,7 @@
     Mutant(
         "router-serves-before-it-has-read-the-marks",
         "edge/node.py",
-        "known and self.treasury.ready and self._marks_known() and not self.leaving",
+        "known and self.treasury.ready and self._observations_known() and not self.leaving",
         "known and self.treasury.ready and not self.leaving",
         (f"{PLATFORM}/test_waking.py",),
     ),
@@ -1392,15 +1392,15 @@
     Mutant(
         "store-that-is-away-makes-routers-unready",
         "edge/freshness.py",
-        "return self._is_store_heard() and self._known_s() > MAX_BEHIND_S",
+        "return self._is_store_reachable() and self._behind_s() > MAX_BEHIND_S",
         "return trio.current_time() - self._feed.freshness.read_at > MAX_BEHIND_S",
         (EDGE,),
     ),
     Mutant(
         "newer-known-for-a-moment-makes-routers-unready",
         "edge/freshness.py",
-        "return self._is_store_heard() and self._known_s() > MAX_BEHIND_S",
-        "return self._known_s() > 0",
+        "return self._is_store_reachable() and self._behind_s() > MAX_BEHIND_S",
+        "return self._behind_s() > 0",
         (EDGE,),
     ),
     Mutant(
@@ -1420,21 +1420,21 @@
     Mutant(
         "retry-after-outlasts-the-addresses",
         "edge/freshness.py",
-        "min(left_s, self._most_retry_s)",
+        "min(left_s, self._max_retry_s)",
         "left_s",
         (EDGE,),
     ),
     Mutant(
         "retry-after-knows-no-transfer",
         "edge/freshness.py",
-        "DEFAULT_RETRY_S if left_s is None else min(left_s, self._most_retry_s)",
+        "DEFAULT_RETRY_S if left_s is None else min(left_s, self._max_retry_s)",
         "DEFAULT_RETRY_S",
         (EDGE,),
     ),
     Mutant(
         "each-answer-by-an-old-view-has-a-line",
         "edge/freshness.py",
-        "        if self._old_since is not None:\n            return\n        now",
+        "        if self._outdated_since is not None:\n            return\n        now",
         "        now",
         (EDGE,),
     ),
@@ -1560,8 +1560,8 @@
     Mutant(
         "store-that-went-away-within-an-answer-makes-routers-unready",
         "edge/freshness.py",
-        "return self._is_store_heard() and self._known_s() > MAX_BEHIND_S",
-        "return self._known_s() > MAX_BEHIND_S",
+        "return self._is_store_reachable() and self._behind_s() > MAX_BEHIND_S",
+        "return self._behind_s() > MAX_BEHIND_S",
         (EDGE,),
     ),
     Mutant(
@@ -2238,7 +2238,7 @@
     Mutant(
         "version-that-the-store-shows-as-replaced-is-current",
         "edge/freshness.py",
-        "MAX_REWRITE_GRACE_S if self._shows_older else REWRITE_GRACE_S",
+        "MAX_REWRITE_GRACE_S if self._store_shows_older else REWRITE_GRACE_S",
         "REWRITE_GRACE_S",
         (ROLLBACK,),
     ),
