--- a/railtide/configuration/__init__.py
+++ b/railtide/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration: proposals on a base version, and the objects in force."""
+"""Configuration objects, validated, versioned and changed by compare-and-swap proposals."""
--- a/railtide/configuration/directory.py
+++ b/railtide/configuration/directory.py
@@ -1,4 +1,4 @@
-"""What is in force, as one router sees it: accounts by API key, models, services."""
+"""One router's index of the objects in force: accounts by API key, models, services."""
 
 from dataclasses import dataclass
 
@@ -19,14 +19,14 @@
 
 @dataclass(frozen=True)
 class ActiveObject:
-    """A validated object and its version."""
+    """A validated object in force, and its version."""
 
     version: int
     body: TemplateBody | AccountBody | ModelBody | ServiceBody
 
 
 class Directory:
-    """Validated objects; a version below the one held is ignored, so that nothing reverts."""
+    """Index of validated objects. Versions that aren't newer are ignored, so nothing reverts."""
 
     def __init__(self) -> None:
         self.invalid = 0
@@ -35,12 +35,12 @@
         self._settings_by_account: dict[str, AccountSettings] = {}
 
     def put(self, kind: str, name: str, version: int, body: bytes) -> bool:
-        """Take an object; return False for an old version, an unknown kind or an invalid body.
+        """Put an object in force; return False if its version is old or its kind or body invalid.
 
-        An invalid body leaves the version before it in force.
+        An invalid body leaves the previous version in force.
         """
-        held = self._by_kind_and_name.get((kind, name))
-        if held and held.version >= version:
+        active = self._by_kind_and_name.get((kind, name))
+        if active and active.version >= version:
             return False
         try:
             checked = check_body(kind, body)
@@ -49,25 +49,25 @@
             return False
         self._by_kind_and_name[(kind, name)] = ActiveObject(version, checked)
         if kind == Kind.ACCOUNT:
-            self._index_account(name, held.body if held else None, checked)
+            self._index_account(name, active.body if active else None, checked)
         elif kind == Kind.TEMPLATE:
             self._resolve_template(name)
         return True
 
     def version(self, kind: str, name: str) -> int:
         """Return the version in force, 0 for none."""
-        held = self._by_kind_and_name.get((kind, name))
-        return held.version if held else 0
+        active = self._by_kind_and_name.get((kind, name))
+        return active.version if active else 0
 
     def versions(self) -> dict[str, int]:
         """Return all versions in force by "kind/name"."""
         return {
-            f"{kind}/{name}": held.version
-            for (kind, name), held in sorted(self._by_kind_and_name.items())
+            f"{kind}/{name}": active.version
+            for (kind, name), active in sorted(self._by_kind_and_name.items())
         }
 
     def account_of_key_hash(self, key_hash: str) -> str | None:
-        """Return the account that an API key belongs to."""
+        """Return the account that owns an API key, None if there is none."""
         return self._account_by_key_hash.get(key_hash)
 
     def settings(self, account: str) -> AccountSettings | None:
@@ -75,18 +75,20 @@
         return self._settings_by_account.get(account)
 
     def model(self, name: str) -> ModelBody | None:
-        """Return a model."""
-        held = self._by_kind_and_name.get((Kind.MODEL, name))
-        return held.body if held else None
+        """Return a model, None if it doesn't exist."""
+        active = self._by_kind_and_name.get((Kind.MODEL, name))
+        return active.body if active else None
 
     def service(self, name: str) -> ServiceBody | None:
-        """Return a plain service."""
-        held = self._by_kind_and_name.get((Kind.SERVICE, name))
-        return held.body if held else None
+        """Return a plain service, None if it doesn't exist."""
+        active = self._by_kind_and_name.get((Kind.SERVICE, name))
+        return active.body if active else None
 
     def bodies(self, kind: str) -> list[ModelBody | ServiceBody | AccountBody | TemplateBody]:
         """Return all bodies of a kind."""
-        return [held.body for (k, _), held in self._by_kind_and_name.items() if k == kind]
+        return [
+            active.body for (found, _), active in self._by_kind_and_name.items() if found == kind
+        ]
 
     def _index_account(self, name: str, old: AccountBody | None, new: AccountBody) -> None:
         for key_hash in old.key_hashes if old else []:
@@ -96,9 +98,9 @@
         self._resolve(name, new)
 
     def _resolve_template(self, template: str) -> None:
-        for (kind, name), held in self._by_kind_and_name.items():
-            if kind == Kind.ACCOUNT and held.body.template == template:
-                self._resolve(name, held.body)
+        for (kind, name), active in self._by_kind_and_name.items():
+            if kind == Kind.ACCOUNT and active.body.template == template:
+                self._resolve(name, active.body)
 
     def _resolve(self, name: str, account: AccountBody) -> None:
         template = self._by_kind_and_name.get((Kind.TEMPLATE, account.template))
--- a/railtide/configuration/errors.py
+++ b/railtide/configuration/errors.py
@@ -20,28 +20,28 @@
 
 
 class InvalidObject(ConfigurationError):
-    """An object's body is not valid; `detail` names the field and what is allowed."""
+    """The body of a configuration object is invalid; `detail` names the field and its bounds."""
 
     code = "invalid-object"
     status = 422
 
 
 class OutdatedVersion(ConfigurationError):
-    """Another operator's proposal on the same version was accepted first."""
+    """Another operator's change to the same version of the object was accepted first."""
 
     code = "outdated-version"
     status = 409
 
 
 class StaleConfiguration(ConfigurationError):
-    """This router has been cut off for longer than the account allows."""
+    """This router has had no contact with the log for longer than the account allows."""
 
     code = "stale-configuration"
     status = 503
 
 
 class ConfigurationOutdated(ConfigurationError):
-    """By the configuration here the request is refused, and there may be a newer one; come back."""
+    """The router's configuration refuses the request but may be outdated; retry the request."""
 
     code = "configuration-outdated"
     status = 503
--- a/railtide/configuration/messages.py
+++ b/railtide/configuration/messages.py
@@ -1,4 +1,4 @@
-"""The record by which an operator proposes a change of configuration."""
+"""The log record with which an operator proposes a change of the configuration."""
 
 from enum import StrEnum
 
@@ -8,7 +8,7 @@
 
 
 class Kind(StrEnum):
-    """What an object of the configuration describes."""
+    """Kind of a configuration object."""
 
     TEMPLATE = "template"
     ACCOUNT = "account"
@@ -19,7 +19,7 @@
 class Proposal(Struct, frozen=True, array_like=True, tag=30):
     """A new body for an object, accepted if `base_version` is the version in force.
 
-    `kind` is a plain string so that an older reader keeps and skips kinds it does not know.
+    `kind` is a plain string so that an older reader can keep and skip kinds that it doesn't know.
     """
 
     kind: str
--- a/railtide/configuration/models.py
+++ b/railtide/configuration/models.py
@@ -1,4 +1,4 @@
-"""Validated models of what operators publish, and how an account follows from its template."""
+"""Validation of published objects, and the merge of an account with its template."""
 
 from hashlib import sha256
 from typing import Literal
@@ -26,35 +26,36 @@
 
 
 class AccountSettings(_Body):
-    """What holds for one client account; the fields a template may give and an account override.
+    """Settings of one client account. A template sets them and an account may override them.
 
     Attributes
     ----------
     models, services : list of str
-        What the account may reach.
+        Models and services that the account may use.
     urgency : {"urgent", "bulk"}
         The most urgent lane that its requests may use.
     weight : int
-        Its share of a lane against other accounts.
+        Relative share of a lane among accounts.
     grant_horizon_s : float
-        A router holds about this many seconds of the account's traffic.
+        An allocation covers about this many seconds of the account's traffic at a router.
     grant_min : int
-        Least units asked for at once, while the budget has them.
+        Least units requested in one grant, as long as the budget has them.
     exposure_percent : int
-        Share of a grant that may be dispatched before its intents are in the log. More keeps
-        serving longer when the log is down; less strands less when a router dies.
+        Share of a grant that may be spent on requests whose intents are not in the log yet. With
+        more, a router serves longer while the log is down; with less, fewer units are stranded when
+        a router dies.
     budget_wait_s : float
         How long a request may wait for a grant before it is refused.
     request_timeout_s : float
-        Deadline of a request that names none.
+        Deadline of a request that carries none.
     max_output_tokens : int
-        Cap, and the default, of a request's output.
+        Upper bound and default of a request's output.
     keep_answer_bytes : int
-        Answers up to this size are kept with the bill, for a retry at any router.
+        Answers up to this size are stored with the bill, so that any router can replay them.
     entrances : int
-        How many addresses a caller is told.
+        Number of router addresses returned to a caller.
     max_stale_s : float
-        Refuse when this router's configuration is older than this; 0 for never.
+        Refuse requests if the router's configuration is older than this; 0 for never.
     """
 
     models: list[str] = []
@@ -77,7 +78,7 @@
 
 
 class AccountBody(_Body):
-    """An account: its template, the SHA-256 of its API keys, and what it sets for itself."""
+    """An account: its template, the SHA-256 of its API keys, and its own settings."""
 
     template: str
     key_hashes: list[str] = []
@@ -85,7 +86,7 @@
 
 
 class ModelBody(_Body):
-    """A model: the pool that serves it and its prices in units a token."""
+    """A model: the pool that serves it, and its prices in units per token."""
 
     pool: str
     price_in: int = Field(1, ge=0)
@@ -93,10 +94,10 @@
 
 
 class ServiceBody(_Body):
-    """A plain service: its pool, its price in units a call, and what may not be repeated.
+    """A plain service: its pool, its price in units per call, and its non-repeatable calls.
 
-    `once` lists path prefixes whose calls run at most once; methods that HTTP calls safe are
-    never among them.
+    `once` lists path prefixes whose calls run at most once. HTTP's safe methods are always
+    repeatable.
     """
 
     pool: str
@@ -136,12 +137,12 @@
 
 def _first_problem(err: ValidationError) -> str:
     problem = err.errors()[0]
-    where = ".".join(str(part) for part in problem["loc"]) or "body"
-    return f"{where}: {problem['msg']}"
+    location = ".".join(str(part) for part in problem["loc"]) or "body"
+    return f"{location}: {problem['msg']}"
 
 
 def resolve_account(template: TemplateBody, account: AccountBody) -> AccountSettings:
-    """Return the template's settings with the account's parameters put over them.
+    """Return the template's settings, overridden by the account's parameters.
 
     Raises
     ------
@@ -162,7 +163,7 @@
 
 
 def key_hash(api_key: str) -> str:
-    """Return the form in which an API key is published.
+    """Return the digest under which an API key is published.
 
     Examples
     --------
--- a/railtide/configuration/objects.py
+++ b/railtide/configuration/objects.py
@@ -1,4 +1,4 @@
-"""Objects of the configuration by kind and name, and the rule that one proposal wins."""
+"""Configuration objects by kind and name, changed by compare-and-swap on their versions."""
 
 from dataclasses import dataclass, field
 
@@ -9,7 +9,7 @@
 
 @dataclass
 class Versioned:
-    """The body in force of one object, its version (from 1) and the offset that set it."""
+    """An object's body in force, its version (from 1) and the log offset that set it."""
 
     body: bytes
     version: int
@@ -25,18 +25,18 @@
 
 
 def version_of(catalog: Catalog, kind: str, name: str) -> int:
-    """Return the version in force, 0 for an object that is not there."""
+    """Return the version in force, 0 if the object doesn't exist."""
     current = catalog.by_kind_and_name.get((kind, name))
     return current.version if current else 0
 
 
 def propose(catalog: Catalog, proposal: Proposal, offset: int) -> bool:
-    """Put a proposal in force if it is based on the version in force.
+    """Apply a proposal if it is based on the version in force.
 
     Returns
     -------
     bool
-        False if another proposal was first.
+        False if another proposal was applied first.
 
     Examples
     --------
--- a/railtide/configuration/routes.py
+++ b/railtide/configuration/routes.py
@@ -1,4 +1,4 @@
-"""Routes: which requests go to which pool, and within which bounds. Pure."""
+"""Routes: which requests go to which pool, and within which limits. No I/O."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True)
 class PoolShare:
-    """A pool and its part of a route's requests."""
+    """A pool and its weight in a route."""
 
     pool: str
     weight: float
@@ -19,26 +19,27 @@
 
 @dataclass(frozen=True)
 class Route:
-    """A route.
+    """A route from a host and path prefix to pools.
 
     Attributes
     ----------
     name, host, prefix : str
         The prefix begins and ends with a slash.
     shares : tuple of PoolShare
-        Pools, by weight.
+        Pools with their weights.
     repeatable : bool
         Whether a request may run more than once.
     stream, resumable : bool
-        Whether answers are streams of events, and may go on at another upstream.
+        Whether answers are event streams, and whether these may be resumed at another upstream.
     timeout_s, goal_s : float
-        Longest time that a caller is kept waiting, and within which an answer is worth most.
+        Longest time that a caller waits, and the latency goal up to which an answer has its full
+        value.
     pause_goal_s : float
-        Longest pause between events with which a stream is worth most; 0 for none.
+        Longest pause between events up to which a stream has its full value; 0 for no goal.
     priority : int
-        0 is the most urgent.
+        0 is most urgent.
     attempts : int
-        Most upstreams that one request may be sent to.
+        Most upstreams to which one request may be sent.
     public : bool
         Whether requests need no API key.
     """
@@ -60,16 +61,16 @@
 
 @dataclass(frozen=True)
 class PoolSettings:
-    """What is configured of a pool's upstreams.
+    """Configuration of a pool's upstreams.
 
     Attributes
     ----------
     connections : int
-        Most connections that one upstream takes from all routers.
+        Most connections that one upstream accepts from all routers together.
     tokens_per_event : int
-        Output tokens that one event of a stream holds at most.
+        Most output tokens in one event of a stream.
     slow_start : SlowStart
-        What an upstream bears after its start.
+        Request limits of an upstream after its start.
     """
 
     name: str
@@ -86,14 +87,14 @@
 
     @classmethod
     def of(cls, routes: Sequence[Route]) -> "RouteTable":
-        """Return the table of some routes."""
+        """Build a table from routes."""
         table = cls()
         for route in sorted(routes, key=lambda r: len(r.prefix), reverse=True):
             table.by_host.setdefault(route.host, []).append(route)
         return table
 
     def match(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix of the path.
+        """Return the route with the longest prefix of the path, None if there is none.
 
         Examples
         --------
@@ -108,7 +109,7 @@
 
 
 def choose_pool(route: Route, rng: Random) -> str:
-    """Return a pool of the route, drawn by weight."""
+    """Draw a pool of the route at random, by weight."""
     if len(route.shares) == 1:
         return route.shares[0].pool
     weights = [share.weight for share in route.shares]
--- a/railtide/configuration/snapshot.py
+++ b/railtide/configuration/snapshot.py
@@ -1,4 +1,4 @@
-"""All that is configured, as one version: routes, pools, client accounts, limits. Pure."""
+"""One version of the whole configuration: routes, pools, client accounts, limits. No I/O."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -10,16 +10,16 @@
 
 @dataclass(frozen=True)
 class AccountTerms:
-    """What one version says of a client account.
+    """One version's configuration of a client account.
 
     Attributes
     ----------
     name : str
     api_keys : tuple of str
     priority : int or None
-        Goes before a route's priority.
+        Overrides the route's priority.
     prepaid : int or None
-        Units that it may use in all; None without a budget.
+        Prepaid budget in units; None for no budget.
     """
 
     name: str
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True)
 class RequestLimits:
-    """What callers may send; see `railtide.http.server.ConnectionLimits`."""
+    """Limits on what callers send; see `railtide.http.server.ConnectionLimits`."""
 
     head_bytes: int
     body_bytes: int
--- a/railtide/configuration/tests/test_directory.py
+++ b/railtide/configuration/tests/test_directory.py
@@ -11,7 +11,7 @@
 
 class TestCheckBody:
     @pytest.mark.parametrize(
-        "kind,body,named",
+        "kind,body,mentioned",
         [
             ("template", b'{"weight":0}', "weight"),
             ("template", b'{"wieght":1}', "wieght"),
@@ -20,8 +20,8 @@
             ("router", b"{}", "kind"),
         ],
     )
-    def test_says_what_is_wrong(self, kind: str, body: bytes, named: str) -> None:
-        with pytest.raises(InvalidObject, match=named):
+    def test_error_names_the_problem(self, kind: str, body: bytes, mentioned: str) -> None:
+        with pytest.raises(InvalidObject, match=mentioned):
             check_body(kind, body)
 
 
@@ -36,13 +36,13 @@
         directory.put("template", "t", 2, b'{"weight":4}')
         assert directory.settings("a").weight == 4
 
-    def test_lower_version_changes_nothing(self) -> None:
+    def test_lower_version_is_ignored(self) -> None:
         directory = Directory()
         directory.put("model", "m", 2, b'{"pool":"new"}')
         assert not directory.put("model", "m", 1, b'{"pool":"old"}')
         assert directory.model("m").pool == "new"
 
-    def test_invalid_body_leaves_the_one_before(self) -> None:
+    def test_invalid_body_leaves_the_previous_one(self) -> None:
         directory = Directory()
         directory.put("model", "m", 1, b'{"pool":"p"}')
         assert not directory.put("model", "m", 2, b'{"pool":1}')
--- a/railtide/configuration/tests/test_routes.py
+++ b/railtide/configuration/tests/test_routes.py
@@ -25,7 +25,7 @@
 
 
 class TestChoosePool:
-    def test_weights_decide(self) -> None:
+    def test_pools_are_drawn_by_weight(self) -> None:
         split = route("/a/", shares=(PoolShare("p", 90), PoolShare("q", 10), PoolShare("none", 0)))
         rng = Random(1)
         drawn = [choose_pool(split, rng) for _ in range(1000)]
--- a/railtide/edge/tests/__init__.py
+++ b/railtide/edge/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests."""
+"""Tests of railtide.edge."""
--- a/railtide/edge/tests/rollback_fleet.py
+++ b/railtide/edge/tests/rollback_fleet.py
@@ -1,6 +1,7 @@
-"""Routers' budgets and roster in virtual time, over one store that comes back from copies.
+"""Routers' budgets and roster in virtual time, on one store that can be rolled back to copies.
 
-Each router has its own way to the store: it hears of an era by its own answers, and may be cut off.
+Each router has its own connection to the store: it learns of a new era from its own answers, and
+may be cut off.
 """
 
 from collections.abc import Awaitable, Callable
@@ -30,18 +31,18 @@
 ACCOUNT = "a"
 PREPAID = 30_000
 SETTINGS = AccountSettings(budget_wait_s=0.4)
-ANSWER_S = 0.004
-LOST_S = 1.0
-"""After which a router that is cut off gives a call up."""
+ANSWER_DELAY_S = 0.004
+CALL_TIMEOUT_S = 1.0
+"""Time after which a router that is cut off abandons a call."""
 
 
 class RouterStore(KeyedStore):
-    """One router's way to the store.
+    """One router's connection to the store.
 
     Attributes
     ----------
     cut : bool
-        Whether nothing comes back.
+        Whether no answer arrives.
     """
 
     def __init__(self, memory: MemoryStore) -> None:
@@ -86,7 +87,7 @@
 
     async def _call(self, call: Callable[[], Awaitable[T]]) -> T:
         rises = self._eras.rises
-        await self._check_way()
+        await self._check_connection()
         answer, error = None, None
         try:
             answer = await call()
@@ -96,46 +97,46 @@
             raise
         except Exception as err:
             error = err
-        await self._check_way()
+        await self._check_connection()
         self._eras.take(str(self._memory.era))
         self._eras.check(rises)
         if error:
             raise error
         return answer
 
-    async def _check_way(self) -> None:
+    async def _check_connection(self) -> None:
         if self.cut:
-            await trio.sleep(LOST_S)
+            await trio.sleep(CALL_TIMEOUT_S)
             raise LogUnavailable("cut off")
 
 
 @dataclass
 class SteppedClocks(Clocks):
-    """A machine's clocks, which outlive its processes; its time of day may be set."""
+    """A machine's clocks, which outlive its processes; the time of day can be stepped."""
 
     boot: str
-    set_by_s: float = 0.0
+    step_s: float = 0.0
 
     def read(self) -> Reading:
         now = trio.current_time()
-        return Reading(self.boot, now, 1e9 + now + self.set_by_s)
+        return Reading(self.boot, now, 1e9 + now + self.step_s)
 
 
 @dataclass
 class Machine:
-    """A machine, and the router on it if one runs.
+    """A machine and the router process on it, if one runs.
 
     Attributes
     ----------
     spent : int
-        Of all its processes.
+        Units spent by all its processes.
     """
 
     name: str
     memory: MemoryStore
     rng: Random
     spent: int = 0
-    lives: int = 0
+    starts: int = 0
     clocks: SteppedClocks = field(default_factory=lambda: SteppedClocks(""))
     store: RouterStore | None = None
     treasury: LedgerTreasury | None = None
@@ -144,10 +145,10 @@
 
     async def run(self) -> None:
         """Run a process until it is killed."""
-        self.lives += 1
-        life = f"{self.name}-{self.lives}"
+        self.starts += 1
+        incarnation = f"{self.name}-{self.starts}"
         self.store = RouterStore(self.memory)
-        member = Member(life, f"{self.name}:1", self.name, 0, 100.0)
+        member = Member(incarnation, f"{self.name}:1", self.name, 0, 100.0)
         self.roster = Roster(
             self.store,
             self.name,
@@ -159,7 +160,7 @@
         self.treasury = LedgerTreasury(
             self.store,
             self.name,
-            life,
+            incarnation,
             self._sharing,
             LedgerOptions(),
             lambda: not self.memory.down,
@@ -180,29 +181,29 @@
         return len(self.roster.named()) if self.roster.is_named() else 0
 
     def kill(self) -> None:
-        """End its process; nothing that it knew is left."""
+        """End its process and lose its state."""
         if self.scope:
             self.scope.cancel()
         self.scope, self.treasury = None, None
 
     async def spend(self, amount: int) -> int:
         """Run a request and return what it cost, 0 if it was refused."""
-        made = self.treasury
-        if made is None:
+        treasury = self.treasury
+        if treasury is None:
             return 0
         try:
-            reserved = await made.reserve(ACCOUNT, SETTINGS, amount, trio.current_time() + 1.0)
+            reserved = await treasury.reserve(ACCOUNT, SETTINGS, amount, trio.current_time() + 1.0)
         except BudgetError:
             return 0
-        if self.treasury is not made:
-            return 0  # killed while it waited
+        if self.treasury is not treasury:
+            return 0  # killed while the request waited
         cost = reserved.settle(amount)
         self.spent += cost
         return cost
 
 
 class RollbackFleet:
-    """Machines before one store.
+    """Machines that share one store.
 
     Parameters
     ----------
@@ -213,7 +214,7 @@
 
     def __init__(self, nursery: trio.Nursery, machines: int, seed: int) -> None:
         self.memory = MemoryStore(era=1)
-        self.memory.delay_s = ANSWER_S
+        self.memory.delay_s = ANSWER_DELAY_S
         self._nursery = nursery
         self._rng = Random(seed)
         self.machines = [
@@ -225,7 +226,7 @@
 
     @property
     def spent(self) -> int:
-        """What was spent of the budget."""
+        """Units spent from the budget."""
         return sum(machine.spent for machine in self.machines)
 
     def start(self, machine: Machine) -> None:
@@ -234,7 +235,7 @@
             self._nursery.start_soon(machine.run)
 
     async def call(self, machine: Machine, pause_s: float, amount: int) -> None:
-        """Be a caller of one machine for ever."""
+        """Call one machine repeatedly, until cancelled."""
         while True:
             await machine.spend(self._rng.randint(1, amount))
             await trio.sleep(self._rng.uniform(0, 2 * pause_s))
--- a/railtide/edge/tests/test_freshness.py
+++ b/railtide/edge/tests/test_freshness.py
@@ -32,8 +32,8 @@
 SLACK_S = 0.01
 
 
-class KnownFreshness(Freshness):
-    """What is known of a topic as the test set it, `left` among it."""
+class FixedFreshness(Freshness):
+    """Freshness set by the test, including the remaining time `left` of a transfer."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -41,27 +41,27 @@
         self.left: float | None = None
 
     def left_s(self) -> float | None:
-        """Return what the test set."""
+        """Return the time that the test set."""
         return self.left
 
 
-class KnownFeed(Feed):
+class FixedFeed(Feed):
     """A feed whose state is set by the test."""
 
     def __init__(self) -> None:
         self.caught_up = self.reachable = True
-        self.freshness = KnownFreshness()
+        self.freshness = FixedFreshness()
         self._fresh = None
 
 
-def made() -> tuple[KnownFeed, ConfigurationFreshness]:
-    feed = KnownFeed()
+def feed_and_freshness() -> tuple[FixedFeed, ConfigurationFreshness]:
+    feed = FixedFeed()
     return feed, ConfigurationFreshness(feed, READ_WAIT_S, MAX_RETRY_S)
 
 
 class TestCurrent:
-    async def test_is_current_as_long_as_an_answer_is_not_overdue(self, autojump_clock) -> None:
-        feed, freshness = made()
+    async def test_is_current_until_an_answer_is_overdue(self, autojump_clock) -> None:
+        feed, freshness = feed_and_freshness()
         await trio.sleep(READ_WAIT_S + READ_OVERDUE_S - SLACK_S)
         assert freshness.is_current()
         await trio.sleep(2 * SLACK_S)
@@ -70,27 +70,27 @@
         assert freshness.is_current()
 
     async def test_is_not_current_before_the_first_complete_read(self, autojump_clock) -> None:
-        feed, freshness = made()
+        feed, freshness = feed_and_freshness()
         feed.freshness.read_at = -float("inf")
         assert not freshness.is_current()
 
-    async def test_is_not_current_while_newer_is_known_of(self, autojump_clock) -> None:
-        feed, freshness = made()
+    async def test_is_not_current_while_a_newer_record_is_known(self, autojump_clock) -> None:
+        feed, freshness = feed_and_freshness()
         feed.freshness.behind_since = trio.current_time()
         assert not freshness.is_current()
 
 
 class TestBehind:
-    async def test_is_behind_once_newer_was_known_of_for_long(self, autojump_clock) -> None:
-        feed, freshness = made()
+    async def test_is_behind_once_a_newer_record_was_known_for_long(self, autojump_clock) -> None:
+        feed, freshness = feed_and_freshness()
         feed.freshness.behind_since = trio.current_time()
         await trio.sleep(MAX_BEHIND_S - SLACK_S)
         assert not freshness.is_behind()
         await trio.sleep(2 * SLACK_S)
         assert freshness.is_behind()
 
-    async def test_store_that_is_away_leaves_none_behind(self, autojump_clock) -> None:
-        feed, freshness = made()
+    async def test_unreachable_store_leaves_none_behind(self, autojump_clock) -> None:
+        feed, freshness = feed_and_freshness()
         feed.reachable = False
         await trio.sleep(100)
         assert not freshness.is_behind()
@@ -98,17 +98,22 @@
 
 class TestRetryAfter:
     @pytest.mark.parametrize(
-        ("left", "told"), [(None, DEFAULT_RETRY_S), (0.3, 0.3), (0.05, 0.05), (7.0, MAX_RETRY_S)]
+        ("left", "expected"),
+        [(None, DEFAULT_RETRY_S), (0.3, 0.3), (0.05, 0.05), (7.0, MAX_RETRY_S)],
     )
-    async def test_is_what_is_left_of_the_transfer(self, left, told, autojump_clock) -> None:
-        feed, freshness = made()
+    async def test_is_the_remaining_time_of_the_transfer(
+        self, left, expected, autojump_clock
+    ) -> None:
+        feed, freshness = feed_and_freshness()
         feed.freshness.left = left
-        assert freshness.outdated(UnknownRoute(), 1).retry_after == told
+        assert freshness.outdated(UnknownRoute(), 1).retry_after == expected
 
 
-class TestLines:
-    async def test_one_line_begins_and_one_ends_each_episode(self, lines, autojump_clock) -> None:
-        feed, freshness = made()
+class TestLogLines:
+    async def test_one_line_at_the_begin_and_one_at_the_end_of_each_episode(
+        self, lines, autojump_clock
+    ) -> None:
+        feed, freshness = feed_and_freshness()
         for _ in range(2):
             await trio.sleep(1.0)
             feed.reachable = False
@@ -121,13 +126,15 @@
             feed.freshness.read_at = trio.current_time()
             freshness.check(5)
             freshness.check(5)
-        told = [(line["event"], line["version"]) for line in lines]
-        assert told == [("configuration-behind", 4), ("configuration-current", 5)] * 2
+        logged = [(line["event"], line["version"]) for line in lines]
+        assert logged == [("configuration-behind", 4), ("configuration-current", 5)] * 2
         assert [line["answers"] for line in lines if "answers" in line] == [3, 3]
         assert [line["for_s"] for line in lines if "for_s" in line] == [2.0, 2.0]
 
-    async def test_short_one_without_a_refusal_says_nothing(self, lines, autojump_clock) -> None:
-        feed, freshness = made()
+    async def test_short_episode_without_a_refusal_is_not_logged(
+        self, lines, autojump_clock
+    ) -> None:
+        feed, freshness = feed_and_freshness()
         feed.freshness.behind_since = trio.current_time()
         for _ in range(9):
             freshness.check(1)
@@ -139,20 +146,20 @@
 
 
 class FaultyStore(MemoryStore):
-    """A store that is away, silent, slow, or keeps its newest records back.
+    """A store that can be down, unresponsive or slow, or withhold its newest records.
 
     Attributes
     ----------
-    silent, keeps_back : bool
+    unresponsive, withholds : bool
     """
 
-    SILENT_S = 1.0
-    """Behind which a client gives a call up, beyond what the call waits for."""
+    CALL_TIMEOUT_S = 1.0
+    """Time after which a client abandons a call, in addition to the call's own wait."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.silent = False
-        self.keeps_back = False
+        self.unresponsive = False
+        self.withholds = False
 
     async def read(
         self,
@@ -162,20 +169,20 @@
         partition: int = 0,
         transfer: Transfer | None = None,
     ) -> KeyedPage:
-        """Return records, if at all; see `KeyedStore.read`."""
-        with trio.move_on_after(wait_s + self.SILENT_S):
+        """Return records, subject to the faults; see `KeyedStore.read`."""
+        with trio.move_on_after(wait_s + self.CALL_TIMEOUT_S):
             page = await super().read(topic, start, wait_s, partition)
-            if self.silent:
+            if self.unresponsive:
                 await trio.sleep_forever()
             transfer.begin(page.end, None)
-            if self.keeps_back and page.records:
+            if self.withholds and page.records:
                 await trio.sleep(0.1)
                 return KeyedPage([], page.end, start)
             return page
-        raise LogUnavailable("silence")
+        raise LogUnavailable("no answer")
 
 
-FAULTS = ("down", "silent", "keeps_back")
+FAULTS = ("down", "unresponsive", "withholds")
 ROUTES = ("a", "b")
 STEPS = st.lists(
     st.one_of(
@@ -188,25 +195,25 @@
     min_size=3,
     max_size=25,
 )
-ASK_S = 0.05
+ASK_INTERVAL_S = 0.05
 
 
 @dataclass
 class Callers:
-    """Ask for all routes all the time, and keep each refusal that rests on the view.
+    """Callers that request all routes repeatedly, and record each final refusal.
 
     Attributes
     ----------
-    view : set of str
+    routes : set of str
         Routes of the newest version that was read.
     refused : list
-        Of each refusal that is final: when, and of which route.
+        Time and route of each final refusal.
     written : list
-        Of each version: when, and its routes.
+        Time and routes of each version.
     """
 
     store: FaultyStore = field(default_factory=FaultyStore)
-    view: set[str] = field(default_factory=set)
+    routes: set[str] = field(default_factory=set)
     refused: list[tuple[float, str]] = field(default_factory=list)
     written: list[tuple[float, set[str]]] = field(default_factory=list)
     served: int = 0
@@ -216,19 +223,19 @@
         self.store.put("t", "config", ",".join(sorted(routes)).encode() or b"-")
 
     def take(self, records: list[KeyedRecord]) -> None:
-        self.view = {name for name in records[-1].value.decode().split(",") if name != "-"}
+        self.routes = {name for name in records[-1].value.decode().split(",") if name != "-"}
 
-    async def ask_on(self, freshness: ConfigurationFreshness) -> None:
+    async def ask_repeatedly(self, freshness: ConfigurationFreshness) -> None:
         while True:
             for route in ROUTES:
-                if route in self.view:
+                if route in self.routes:
                     self.served += 1
                 elif freshness.is_current():
                     self.refused.append((trio.current_time(), route))
-            await trio.sleep(ASK_S)
+            await trio.sleep(ASK_INTERVAL_S)
 
     def allowed_throughout(self, route: str, since: float, until: float) -> bool:
-        """Return whether each version that was the newest at some time between allows a route."""
+        """Return whether every version that was newest at some time in the span has a route."""
         return all(route in routes for routes in self._newest_between(since, until))
 
     def _newest_between(self, since: float, until: float) -> Iterator[set[str]]:
@@ -238,7 +245,7 @@
                 yield routes
 
 
-def played(steps: list[tuple[str, object]]) -> Callers:
+def run_steps(steps: list[tuple[str, object]]) -> Callers:
     async def run() -> Callers:
         callers = Callers()
         callers.write({"a"})
@@ -247,7 +254,7 @@
         freshness = ConfigurationFreshness(feed, READ_WAIT_S, MAX_RETRY_S)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(feed.run)
-            nursery.start_soon(callers.ask_on, freshness)
+            nursery.start_soon(callers.ask_repeatedly, freshness)
             await trio.sleep(0.5)
             for kind, value in steps:
                 if kind == "write":
@@ -268,16 +275,16 @@
 class TestRefusals:
     @given(steps=STEPS)
     @settings(max_examples=150)
-    def test_rest_on_no_older_view_than_a_read_may_take(self, steps) -> None:
-        """Whatever is written, lost, silent, slow or begun: each is by what was newest lately."""
-        callers = played(steps)
+    def test_refusals_use_no_older_version_than_a_read_may_take(self, steps) -> None:
+        """Each final refusal is justified by a recently newest version, whatever fails."""
+        callers = run_steps(steps)
         for at, route in callers.refused:
             since = at - READ_WAIT_S - READ_OVERDUE_S - SLACK_S
             assert not callers.allowed_throughout(route, since, at)
 
-    def test_are_made_and_requests_are_served(self) -> None:
-        """Else the test above shows nothing."""
-        callers = played([("sleep", 1.0), ("write", {"b"}), ("sleep", 1.0)])
+    def test_requests_are_both_refused_and_served(self) -> None:
+        """Without refusals and served requests, the test above would prove nothing."""
+        callers = run_steps([("sleep", 1.0), ("write", {"b"}), ("sleep", 1.0)])
         assert callers.served and {route for _, route in callers.refused} == {"a", "b"}
 
 
@@ -291,10 +298,10 @@
 
 
 class TestErrors:
-    def test_which_rest_on_the_configuration(self) -> None:
+    def test_errors_that_rest_on_the_configuration(self) -> None:
         all_codes()
         kinds = [RailtideError]
         for kind in kinds:
             kinds += kind.__subclasses__()
-        resting = {kind.code for kind in kinds if kind.rests_on_configuration}
-        assert resting == {"unknown-route", "unauthorized", "not-allowed", "budget-exhausted"}
+        codes = {kind.code for kind in kinds if kind.rests_on_configuration}
+        assert codes == {"unknown-route", "unauthorized", "not-allowed", "budget-exhausted"}
--- a/railtide/edge/tests/test_request_rate.py
+++ b/railtide/edge/tests/test_request_rate.py
@@ -12,7 +12,7 @@
         return self.now
 
 
-def after_steady_requests(clock: Clock, per_second: int, seconds: int) -> RequestRate:
+def rate_after_steady_requests(clock: Clock, per_second: int, seconds: int) -> RequestRate:
     rate = RequestRate(clock)
     for _ in range(per_second * seconds):
         clock.now += 1 / per_second
@@ -21,16 +21,16 @@
 
 
 class TestRequestRate:
-    def test_is_nothing_without_requests(self) -> None:
+    def test_is_zero_without_requests(self) -> None:
         assert RequestRate(Clock()).per_second() == 0.0
 
-    def test_comes_near_a_steady_rate(self) -> None:
-        rate = after_steady_requests(Clock(), 10, 5 * round(WINDOW_S))
+    def test_converges_to_a_steady_rate(self) -> None:
+        rate = rate_after_steady_requests(Clock(), 10, 5 * round(WINDOW_S))
         assert 9 < rate.per_second() < 11
 
-    def test_falls_slowly_behind_a_peak(self) -> None:
+    def test_falls_slowly_after_a_peak(self) -> None:
         clock = Clock()
-        rate = after_steady_requests(clock, 10, 5 * round(WINDOW_S))
+        rate = rate_after_steady_requests(clock, 10, 5 * round(WINDOW_S))
         clock.now += PEAK_DECAY_S / 10
         assert rate.per_second() > 8
         clock.now += 5 * PEAK_DECAY_S
--- a/railtide/edge/tests/test_rollback_fleet.py
+++ b/railtide/edge/tests/test_rollback_fleet.py
@@ -1,7 +1,8 @@
-"""No unit is spent twice over a store that comes back from copies, whoever dies meanwhile.
+"""No unit is spent twice when the store is rolled back to a copy, whichever routers die meanwhile.
 
-What callers ran is summed against the budget. Routers have their real budgets and roster, on one
-store in memory that loses answers, is late, comes back from copies and is cut off from some.
+The cost of all requests that ran is compared with the budget. Routers have their real budgets and
+roster, on one in-memory store that loses answers, applies appends late, is rolled back to copies
+and is unreachable for some routers.
 """
 
 import os
@@ -20,19 +21,19 @@
 from railtide.edge.tests.rollback_fleet import ACCOUNT, PREPAID, Machine, RollbackFleet
 
 EXAMPLES = int(os.environ.get("RAILTIDE_EXAMPLES", "30"))
-"""Histories drawn; more by hand."""
+"""Number of random histories."""
 MACHINES = 3
 SETTLED_S = 6.0
-REST_S = 24.0
+SPEND_DOWN_S = 24.0
 START_S = 0.5
-"""Between the end of a process and the start of the next one."""
+"""Time between the end of a process and the start of the next one."""
 TOPIC = LedgerOptions().topic
 
 
 def play(scenario: Callable[[RollbackFleet], object], seed: int = 1, pause_s: float = 0.1) -> int:
-    """Have callers spend while a scenario goes on, and then until little is left; return the sum.
+    """Have callers spend during a scenario and then until little is left; return the units spent.
 
-    At the end all that was harmed is whole again, and all processes run.
+    After the scenario all faults are removed, and all processes run.
     """
     spent: list[int] = []
 
@@ -50,7 +51,7 @@
                 if machine.store:
                     machine.store.cut = False
                 fleet.start(machine)
-            await trio.sleep(REST_S)
+            await trio.sleep(SPEND_DOWN_S)
             spent.append(fleet.spent)
             nursery.cancel_scope.cancel()
 
@@ -59,7 +60,7 @@
 
 
 async def restart(fleet: RollbackFleet, *machines: Machine) -> None:
-    """Kill processes at one moment, and start the next ones."""
+    """Kill processes at the same time, and start new ones."""
     for machine in machines:
         machine.kill()
     await trio.sleep(START_S)
@@ -74,7 +75,9 @@
 class TestDeaths:
     @pytest.mark.parametrize("count", range(MACHINES + 1))
     @pytest.mark.parametrize("seed", range(5))
-    def test_who_dies_at_the_loss_is_known_or_held_back(self, count: int, seed: int) -> None:
+    def test_allocations_of_routers_killed_at_the_rollback_are_accounted(
+        self, count: int, seed: int
+    ) -> None:
         async def scenario(fleet: RollbackFleet) -> None:
             copy = fleet.memory.copy()
             await trio.sleep(3.0)
@@ -84,7 +87,9 @@
         assert play(scenario, seed) <= PREPAID
 
     @pytest.mark.parametrize("seed", range(5))
-    def test_who_dies_in_the_lost_seconds_is_too(self, seed: int) -> None:
+    def test_allocations_of_routers_killed_in_the_lost_seconds_are_accounted(
+        self, seed: int
+    ) -> None:
         async def scenario(fleet: RollbackFleet) -> None:
             copy = fleet.memory.copy()
             await trio.sleep(1.5)
@@ -95,8 +100,8 @@
 
         assert play(scenario, seed) <= PREPAID
 
-    def test_units_that_nobody_has_read_of_are_not_spent(self) -> None:
-        """A grant for need is spent at once, and its router dies before another reads of it."""
+    def test_units_granted_unseen_by_other_routers_are_not_spent_again(self) -> None:
+        """A grant is spent at once, and its router dies before another router reads of it."""
 
         async def scenario(fleet: RollbackFleet) -> None:
             dying = fleet.machines[0]
@@ -110,7 +115,7 @@
 
         assert play(scenario, pause_s=0.05) <= PREPAID
 
-    def test_router_that_starts_leaves_the_opening_to_those_that_know(self) -> None:
+    def test_new_router_leaves_the_opening_to_survivors(self) -> None:
         async def scenario(fleet: RollbackFleet) -> None:
             copy = fleet.memory.copy()
             await trio.sleep(2.0)
@@ -127,8 +132,8 @@
         assert play(scenario) <= PREPAID
 
     @pytest.mark.parametrize("seed", range(5))
-    def test_all_die_and_the_store_comes_back_once_more(self, seed: int) -> None:
-        """Those that started in between live through a rise, and know nothing of before."""
+    def test_all_routers_die_and_the_store_is_rolled_back_again(self, seed: int) -> None:
+        """Routers that start in between survive a rollback, but know nothing of the time before."""
 
         async def scenario(fleet: RollbackFleet) -> None:
             copy = fleet.memory.copy()
@@ -140,7 +145,7 @@
 
         assert play(scenario, seed) <= PREPAID
 
-    def test_little_is_held_back_where_another_lives(self) -> None:
+    def test_little_is_withheld_if_another_router_survives(self) -> None:
         async def scenario(fleet: RollbackFleet) -> None:
             copy = fleet.memory.copy()
             await trio.sleep(3.0)
@@ -153,7 +158,7 @@
 
         assert 0.9 * PREPAID < play(scenario, pause_s=0.05) <= PREPAID
 
-    def test_nothing_is_held_back_where_all_live(self) -> None:
+    def test_nothing_is_withheld_if_all_survive(self) -> None:
         async def scenario(fleet: RollbackFleet) -> None:
             copy = fleet.memory.copy()
             await trio.sleep(3.0)
@@ -163,7 +168,7 @@
 
         assert 0.98 * PREPAID < play(scenario, pause_s=0.05) <= PREPAID
 
-    def test_kill_of_all_without_a_rise_holds_nothing_back(self) -> None:
+    def test_killing_all_without_a_rollback_withholds_nothing(self) -> None:
         async def scenario(fleet: RollbackFleet) -> None:
             await restart(fleet, *fleet.machines)
             await trio.sleep(5.0)
@@ -172,9 +177,9 @@
         assert play(scenario) <= PREPAID
 
 
-class TestLateHearing:
-    def test_router_that_hears_late_says_what_it_holds_late(self) -> None:
-        """It serves from its hand while it is cut off, and the era is opened without it."""
+class TestLateRouters:
+    def test_router_that_learns_of_the_rollback_late_reports_its_holding_late(self) -> None:
+        """It serves from its allocation while it is cut off, and the era is opened without it."""
 
         async def scenario(fleet: RollbackFleet) -> None:
             copy = fleet.memory.copy()
@@ -191,7 +196,7 @@
 
         assert play(scenario) <= PREPAID
 
-    def test_append_of_the_former_era_that_lands_late_changes_nothing(self) -> None:
+    def test_late_append_of_the_former_era_changes_nothing(self) -> None:
         async def scenario(fleet: RollbackFleet) -> None:
             copy = fleet.memory.copy()
             await trio.sleep(2.0)
@@ -208,7 +213,7 @@
 
 @dataclass(frozen=True)
 class Event:
-    """What happens next, after a pause: to a machine, for a time."""
+    """A step of a history: after a pause, something happens to a machine for a time."""
 
     after_s: float
     kind: str
@@ -238,7 +243,7 @@
 
 
 class History:
-    """Plays drawn events on a fleet."""
+    """Plays random events on a fleet."""
 
     def __init__(self, events: list[Event]) -> None:
         self._events = events
@@ -268,14 +273,14 @@
         elif event.kind == "cut":
             nursery.start_soon(self._cut, machine, event.for_s)
         elif event.kind == "down":
-            nursery.start_soon(self._take_away, fleet, event.for_s)
+            nursery.start_soon(self._disconnect_store, fleet, event.for_s)
         elif event.kind == "lose-answers":
             memory.lose_answers = 1 + event.machine
         elif event.kind == "late-appends":
             memory.late_appends = 1 + event.machine
             nursery.start_soon(self._do_late, fleet, event.for_s)
         else:
-            machine.clocks.set_by_s += event.for_s - 3.0
+            machine.clocks.step_s += event.for_s - 3.0
 
     async def _cut(self, machine: Machine, for_s: float) -> None:
         store = machine.store
@@ -283,7 +288,7 @@
         await trio.sleep(for_s)
         store.cut = False
 
-    async def _take_away(self, fleet: RollbackFleet, for_s: float) -> None:
+    async def _disconnect_store(self, fleet: RollbackFleet, for_s: float) -> None:
         fleet.memory.down = True
         await trio.sleep(for_s / 2)
         fleet.memory.down = False
--- a/railtide/edge/tests/test_store_away.py
+++ b/railtide/edge/tests/test_store_away.py
@@ -1,4 +1,4 @@
-"""A store that goes away while all routers read a new version."""
+"""A store that becomes unreachable while all routers read a new version."""
 
 from random import Random
 
@@ -12,8 +12,8 @@
 from railtide.standins.keyed_store import MemoryStore
 
 
-class GoesAway(MemoryStore):
-    """Falls silent once it has begun to answer with a record, and is away from then on."""
+class VanishingStore(MemoryStore):
+    """Becomes unresponsive during its first answer with a record, and unreachable from then on."""
 
     async def read(
         self,
@@ -30,15 +30,16 @@
         return page
 
 
-class TestStoreAway:
-    async def test_store_that_went_away_within_an_answer_leaves_none_behind(
+class TestUnreachableStore:
+    async def test_store_lost_during_an_answer_makes_no_router_outdated(
         self, autojump_clock
     ) -> None:
-        """`/ready` is 503 at each router at once, for as long as the store is away.
+        """Guards against all routers answering 503 on `/ready` while the store is unreachable.
 
-        "A store that is merely away does neither: it is away for all routers alike."
+        An unreachable store is unreachable for all routers alike, so none of them may count as
+        outdated.
         """
-        store = GoesAway()
+        store = VanishingStore()
         feed = Feed(store, "t", FeedOptions(), Random(1), lambda records: None)
         freshness = ConfigurationFreshness(feed, 2.0, 1.0)
         async with trio.open_nursery() as nursery:
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -147,7 +147,7 @@
     Mutant(
         "lower-version-taken",
         "configuration/directory.py",
-        "if held and held.version >= version:",
+        "if active and active.version >= version:",
         "if False:",
         ("railtide/configuration/tests",),
     ),
