--- a/railtide/containment/blame.py
+++ b/railtide/containment/blame.py
@@ -93,24 +93,26 @@
     >>> assign_blame([*at("one", 1, 2, 3), *at("other", 1, 2, 3)]).held
     {}
     """
-    every = list(observations)
-    detection_times = detection_times_of(every) if detection_times is None else detection_times
-    left: dict[str, list[CrashObservation]] = {}
-    for observation in every:
+    all_observations = list(observations)
+    detection_times = (
+        detection_times_of(all_observations) if detection_times is None else detection_times
+    )
+    unexplained: dict[str, list[CrashObservation]] = {}
+    for observation in all_observations:
         if not observation.cleared:
-            left.setdefault(observation.content, []).append(observation)
+            unexplained.setdefault(observation.content, []).append(observation)
     held: dict[str, frozenset[str]] = {}
-    while culprits := _clear_culprits(left, detection_times):
+    while culprits := _unambiguous_culprits(unexplained, detection_times):
         for content in culprits:
-            held[content] = _incarnations(left.pop(content))
+            held[content] = _incarnations(unexplained.pop(content))
         explained = frozenset().union(*(held[content] for content in culprits))
-        left = {
+        unexplained = {
             content: [seen for seen in of_content if seen.incarnation not in explained]
-            for content, of_content in left.items()
+            for content, of_content in unexplained.items()
         }
     crash_counts = {
         content: len(incidents_of(found, detection_times))
-        for content, found in left.items()
+        for content, found in unexplained.items()
         if found
     }
     return Blame(held, crash_counts)
@@ -229,11 +231,13 @@
     return frozenset(observation.incarnation for observation in observations)
 
 
-def _clear_culprits(
-    left: Mapping[str, Sequence[CrashObservation]], detection_times: DetectionTimes
+def _unambiguous_culprits(
+    unexplained: Mapping[str, Sequence[CrashObservation]], detection_times: DetectionTimes
 ) -> list[str]:
     """Return the contents of the greatest weight that reach the threshold and are unambiguous."""
-    enough = {content: seen for content, seen in left.items() if len(seen) >= MIN_OBSERVATIONS}
+    enough = {
+        content: seen for content, seen in unexplained.items() if len(seen) >= MIN_OBSERVATIONS
+    }
     weights = {content: evidence_weight(seen, detection_times) for content, seen in enough.items()}
     greatest = max(weights.values(), default=0)
     if greatest < HOLD_THRESHOLD:
@@ -241,13 +245,15 @@
     worst = [content for content, weight in weights.items() if weight == greatest]
     if greatest >= HOLD_THRESHOLD + STRONG_WEIGHT:
         return worst
-    return [content for content in worst if not _is_ambiguous(content, worst, left)]
+    return [content for content in worst if not _is_ambiguous(content, worst, unexplained)]
 
 
 def _is_ambiguous(
-    content: str, worst: Sequence[str], left: Mapping[str, Sequence[CrashObservation]]
+    content: str, worst: Sequence[str], unexplained: Mapping[str, Sequence[CrashObservation]]
 ) -> bool:
     """Return whether another content of the same weight shares nearly all of its crashes."""
-    incarnations = _incarnations(left[content])
-    shared = (_incarnations(left[other]) & incarnations for other in worst if other != content)
+    incarnations = _incarnations(unexplained[content])
+    shared = (
+        _incarnations(unexplained[other]) & incarnations for other in worst if other != content
+    )
     return any(len(crashes) >= MIN_OBSERVATIONS - 1 for crashes in shared)
--- a/railtide/edge/freshness.py
+++ b/railtide/edge/freshness.py
@@ -98,7 +98,7 @@
         self._is_store_reachable = is_store_reachable or (lambda: feed.reachable)
         self._outdated_since: float | None = None
         self._answers = 0
-        self._risen_at = -math.inf
+        self._rolled_back_at = -math.inf
         self._store_shows_older = False
 
     def is_current(self) -> bool:
@@ -108,14 +108,14 @@
 
     def note_rise(self) -> None:
         """Record that the store was rolled back."""
-        self._risen_at = trio.current_time()
+        self._rolled_back_at = trio.current_time()
 
     def note_version_read(self, is_older: bool) -> None:
         """Record whether the store shows an older version than the one in force."""
         self._store_shows_older = is_older
 
     def _is_store_older(self) -> bool:
-        since = trio.current_time() - self._risen_at
+        since = trio.current_time() - self._rolled_back_at
         return since < (MAX_REWRITE_GRACE_S if self._store_shows_older else REWRITE_GRACE_S)
 
     def is_behind(self) -> bool:
--- a/railtide/edge/peers.py
+++ b/railtide/edge/peers.py
@@ -9,7 +9,7 @@
 
 
 class RosterPeers(Peers):
-    """Peers taken from a roster.
+    """The peers listed in a roster.
 
     Parameters
     ----------
--- a/railtide/edge/request_rate.py
+++ b/railtide/edge/request_rate.py
@@ -11,7 +11,7 @@
 """Averaging window: a burst shows within seconds, and one second without requests hardly does."""
 PEAK_DECAY_S = 30.0
 """Time constant with which a peak decays. Callers move to other addresses when fewer routers are
-named, so the number of named routers must fall more slowly than it rises."""
+advertised, so the number of advertised routers must fall more slowly than it rises."""
 
 
 class RequestRate:
--- a/railtide/edge/tests/rollback_fleet.py
+++ b/railtide/edge/tests/rollback_fleet.py
@@ -188,14 +188,14 @@
 
     async def spend(self, amount: int) -> int:
         """Run a request and return what it cost, 0 if it was refused."""
-        treasury = self.treasury
-        if treasury is None:
+        current = self.treasury
+        if current is None:
             return 0
         try:
-            reserved = await treasury.reserve(ACCOUNT, SETTINGS, amount, trio.current_time() + 1.0)
+            reserved = await current.reserve(ACCOUNT, SETTINGS, amount, trio.current_time() + 1.0)
         except BudgetError:
             return 0
-        if self.treasury is not treasury:
+        if self.treasury is not current:
             return 0  # killed while the request waited
         cost = reserved.settle(amount)
         self.spent += cost
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -881,7 +881,7 @@
     Mutant(
         "contents-that-share-all-ends-are-both-held",
         "containment/blame.py",
-        "if not _is_ambiguous(content, worst, left)]",
+        "if not _is_ambiguous(content, worst, unexplained)]",
         "]",
         (CONTAINMENT,),
     ),
