--- a/railtide/requests/execution.py
+++ b/railtide/requests/execution.py
@@ -9,7 +9,7 @@
 
 from railtide.budgets.log_budget_source import LogReservation
 from railtide.budgets.messages import Waste
-from railtide.containment.ends import UpstreamRun
+from railtide.containment.crash_detection import UpstreamAttempt
 from railtide.containment.errors import ContentHeld
 from railtide.errors import RailtideError, Run
 from railtide.journal.entries import Verdict, VerdictCode
@@ -223,14 +223,16 @@
 
     def _report_answer(self, upstream: Instance, relayed: Relayed) -> None:
         """Report an answer to the content guard; only a framed one is certainly complete."""
-        sound = relayed.framed and relayed.answer.status == OK_STATUS
-        self._services.guard.note_answer(upstream, self._last_attempt(), sound)
+        complete = relayed.framed and relayed.answer.status == OK_STATUS
+        self._services.guard.note_answer(upstream, self._last_attempt(), complete)
 
     def _cancel_scope(self) -> AbstractContextManager[trio.CancelScope]:
-        return self._services.guard.running(self._call.content, lambda: self._relay.head_at)
+        return self._services.guard.cancel_scope_for(
+            self._call.content, lambda: self._relay.head_at
+        )
 
-    def _last_attempt(self) -> UpstreamRun:
-        return UpstreamRun(self._call.content, self._sent_at, self._relay.head_at)
+    def _last_attempt(self) -> UpstreamAttempt:
+        return UpstreamAttempt(self._call.content, self._sent_at, self._relay.head_at)
 
     async def _report_failed_attempt(self, upstream: Upstream, err: UpstreamError) -> None:
         """Report a failed attempt to the content guard, unless its upstream was leaving.
