--- a/railtide/platform/program.py
+++ b/railtide/platform/program.py
@@ -33,7 +33,7 @@
 
 PREFIX = "RAILTIDE_EDGE"
 OK = 200
-ADDRESS_TAKEN = 3
+EXIT_ADDRESS_IN_USE = 3
 """Exit code of a process whose address another one has."""
 UNAVAILABLE = 503
 NOT_FOUND = 404
@@ -188,7 +188,7 @@
     except OSError as err:
         logger.bind(address=address, error=str(err)).error("cannot-listen")
         lines.flush()
-        raise SystemExit(ADDRESS_TAKEN) from err
+        raise SystemExit(EXIT_ADDRESS_IN_USE) from err
 
 
 async def _serve(server: HttpServer, address: str) -> None:
--- a/tests/test_edge_process.py
+++ b/tests/test_edge_process.py
@@ -22,7 +22,7 @@
 from railtide.http.messages import HttpRequest
 from railtide.http.server import ConnectionLimits, Handler, HttpServer
 from railtide.http.sockets import listen
-from railtide.platform.program import ADDRESS_TAKEN
+from railtide.platform.program import EXIT_ADDRESS_IN_USE
 from railtide.platform.tests.hosts import HOST
 from railtide.standins.keyed_store import MemoryStore
 from railtide.standins.platform import EngineScript, PlatformEngine, StoreServer, engine_entry
@@ -260,7 +260,7 @@
             assert (await body_of(await made.ask(1))).count(b"data:") == 20
             second = await made.launch()
             with trio.fail_after(WAIT_S):
-                assert await second.wait() == ADDRESS_TAKEN
+                assert await second.wait() == EXIT_ADDRESS_IN_USE
             assert (await body_of(await made.ask(2))).count(b"data:") == 20
             newest = made.store.topic(LedgerOptions.topic).newest_by_key
             assert ledger_from_bytes(newest["t"].value).closed == 0
