--- a/railtide/platform/__init__.py
+++ b/railtide/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter to the users' platform: its settings, store, wire names and codes; no decisions."""
+"""Adapter to the platform: its settings, store, wire names and codes; no routing decisions."""
--- a/railtide/platform/boot.py
+++ b/railtide/platform/boot.py
@@ -1,4 +1,4 @@
-"""The platform's settings file, checked and decoded into a process's own settings."""
+"""The platform's settings file, validated and decoded into the settings of a router process."""
 
 import os
 from dataclasses import dataclass
@@ -28,7 +28,7 @@
 
 
 class _MachineLimits(BaseModel):
-    """`cpu_share` is a part of a core, which is `cores` times as fast as a common one."""
+    """`cpu_share` is a fraction of a core; `cores` is that core's speed in standard cores."""
 
     cpu_share: float = 1.0
     cores: float = 1.0
@@ -52,73 +52,74 @@
 
 @dataclass(frozen=True)
 class Boot:
-    """A process's settings.
+    """Settings of a router process.
 
     Attributes
     ----------
     instance, failure_domain : str
     host : str
         IP address of the instance.
-    calls, readiness, lookup : str
-        Addresses, host:port, for calls, readiness probes and address questions.
+    client_address, readiness_address, directory_address : str
+        Addresses to listen on, host:port: for client requests, readiness probes and lookups of
+        router addresses.
     store : str
-        Address of the platform's store.
+        Address of the platform's store, host:port.
     store_partitions : int
-        Partitions of a topic there; fixed for an installation.
+        Partitions of each topic in the store; fixed for a deployment.
     retry_ratio, retry_slack : float
-        Retries allowed for each request of a pool, and beyond that, for all routers together.
+        Retries that all routers together may make: per request of a pool, and in addition to that.
     grace_s : float
-        From SIGTERM to SIGKILL.
-    processor : float
-        Speed of the instance's processor, in common cores.
+        Time between SIGTERM and SIGKILL, seconds.
+    cpu_speed : float
+        Processor capacity of the instance, in standard cores.
     link_mbps : float
-        Bandwidth of its link, megabits a second.
+        Bandwidth of the instance's link, Mbit/s.
     """
 
     instance: str
     failure_domain: str
     host: str
-    calls: str
-    readiness: str
-    lookup: str
+    client_address: str
+    readiness_address: str
+    directory_address: str
     store: str
     store_partitions: int
     retry_ratio: float
     retry_slack: float
     grace_s: float
-    processor: float
+    cpu_speed: float
     link_mbps: float
 
 
 def read_boot(path: str | None = None) -> Boot:
-    """Return the settings in the file that the platform names.
+    """Return the settings in a file, by default the one that RAILTIDE_BOOT names.
 
     Raises
     ------
     InvalidSetting
-        There is no file, or a field is missing or wrong; the field is named.
+        The file can't be read, or a field is missing or invalid; the message names the field.
     """
-    name = path or os.environ.get(BOOT_VARIABLE, "")
+    file_name = path or os.environ.get(BOOT_VARIABLE, "")
     try:
-        file = _File.model_validate(yaml.safe_load(Path(name).read_text()))
+        file = _File.model_validate(yaml.safe_load(Path(file_name).read_text()))
     except (OSError, yaml.YAMLError) as err:
-        raise InvalidSetting(f"{BOOT_VARIABLE}={name!r} can't be read: {err}") from err
+        raise InvalidSetting(f"{BOOT_VARIABLE}={file_name!r} can't be read: {err}") from err
     except ValidationError as err:
         problem = err.errors()[0]
-        where = ".".join(str(part) for part in problem["loc"])
-        raise InvalidSetting(f"{name}: {where}: {problem['msg']}") from err
+        field_path = ".".join(str(part) for part in problem["loc"])
+        raise InvalidSetting(f"{file_name}: {field_path}: {problem['msg']}") from err
     return Boot(
         instance=file.node_name,
         failure_domain=file.zone,
         host=file.ip,
-        calls=file.listen.front,
-        readiness=file.listen.ready,
-        lookup=file.listen.directory,
+        client_address=file.listen.front,
+        readiness_address=file.listen.ready,
+        directory_address=file.listen.directory,
         store=file.platform.address,
         store_partitions=file.platform.parts,
         retry_ratio=file.bounds.retry_ratio,
         retry_slack=file.bounds.retry_slack,
         grace_s=file.bounds.grace_s,
-        processor=file.limits.cpu_share * file.limits.cores,
+        cpu_speed=file.limits.cpu_share * file.limits.cores,
         link_mbps=file.limits.link_mbps,
     )
--- a/railtide/platform/contents.py
+++ b/railtide/platform/contents.py
@@ -1,4 +1,4 @@
-"""The program `railtide-contents`: which requests end upstreams, and letting one go by hand."""
+"""The program `railtide-contents`: lists quarantined contents and releases one of them."""
 
 import time
 from collections.abc import Awaitable, Callable
@@ -20,25 +20,26 @@
 
 
 def show(*, store: str) -> None:
-    """Print the contents that are held or suspected, one JSON object a line, the worst first.
+    """Print the quarantined and suspected contents, one JSON object a line, the worst first.
 
     :param store: address of the platform's store, host:port
     """
-    for state in _ask(store, lambda found: content_states(found, time.time())):
+    for state in _with_store(store, lambda client: content_states(client, time.time())):
         print(msgspec.json.encode(state).decode())
 
 
 def lift(content: str, *, store: str) -> None:
-    """Let a content run again at once, at all routers.
+    """Release a content from quarantine at all routers, at once.
 
-    :param content: its digest, as routers' lines tell it
+    :param content: digest of the content, as in the routers' log lines
     :param store: address of the platform's store, host:port
     """
-    cleared = _ask(store, lambda found: lift_content(found, content, OPERATOR))
+    cleared = _with_store(store, lambda client: lift_content(client, content, OPERATOR))
     print(msgspec.json.encode({"content": content, "cleared": cleared}).decode())
 
 
-def _ask(address: str, act: Callable[[PlatformStore], Awaitable[object]]) -> object:
+def _with_store(address: str, act: Callable[[PlatformStore], Awaitable[object]]) -> object:
+    """Return the result of a coroutine function that is called with the store's client."""
     endpoint(address)
 
     async def run() -> object:
--- a/railtide/platform/desired_state.py
+++ b/railtide/platform/desired_state.py
@@ -1,4 +1,4 @@
-"""The operator's desired state and the engines' records, decoded into the product's own types."""
+"""Decodes the operator's desired state and the engines' records into railtide's types."""
 
 import re
 from typing import Annotated
@@ -26,15 +26,15 @@
 
 CONFIG_KEY = "config"
 DRAIN_PREFIX = "evacuate/"
-"""Begins the key of an order to drain a zone; the rest of the key is its name."""
+"""Prefix of the key of a drain order; the rest of the key is the zone's name."""
 STREAMING = "streaming"
 SAFE = "safe"
-STATE_BY_WORD = {"ready": InstanceState.LIVE, "draining": InstanceState.LEAVING}
+STATE_BY_NAME = {"ready": InstanceState.LIVE, "draining": InstanceState.LEAVING}
 ENGINE_ID = re.compile(r"[!-~]+", re.ASCII)
-"""An engine's id is sent to it in a header: letters that are printed, and no spaces."""
+"""Printable ASCII without spaces, since an engine's id is sent to it in a header."""
 MS = 1000.0
-MOST_COLD_S = 600.0
-"""No engine stays cold for longer; what tells more is taken for an error of its writer."""
+MAX_COLD_S = 600.0
+"""No engine stays cold for longer; a higher value is taken for an error of its writer."""
 
 
 class _Split(msgspec.Struct):
@@ -43,8 +43,8 @@
 
 
 class _Route(msgspec.Struct):
-    """`kind` is safe, unsafe or streaming; `goal_ms` is the response-time objective,
-    `gap_goal_ms` the longest pause between events of a stream."""
+    """`kind` is safe, unsafe or streaming; `goal_ms` is the response-time objective, and
+    `gap_goal_ms` the objective for the pauses between the events of a stream."""
 
     name: str
     host: str
@@ -62,14 +62,14 @@
 
 
 class _Engine(msgspec.Struct):
-    """`stride` is how many tokens one event of a stream holds at most."""
+    """`stride` is the largest number of tokens in one event of a stream."""
 
     stride: int = 1
 
 
 class _Service(msgspec.Struct):
-    """`max_conns` is what one engine takes from all callers together; for `cold_start_s` after its
-    start it takes `cold_per_s` requests a second."""
+    """`max_conns` is the number of concurrent requests that one engine accepts from all routers
+    together. For `cold_start_s` after its start it accepts `cold_per_s` requests a second."""
 
     name: str
     max_conns: int = 64
@@ -86,7 +86,7 @@
 
 
 class _Tenant(msgspec.Struct):
-    """`prepaid` is the total for the whole day, not what is left."""
+    """`prepaid` is the total for the whole day, not the remainder."""
 
     name: str
     api_keys: list[str] = []
@@ -103,9 +103,9 @@
 
 
 class _Server(msgspec.Struct):
-    """An engine's entry, with all that the page says an engine writes: an entry that lacks a field,
-    or has it of another type, is another writer's. `born` is when its life began, Unix
-    milliseconds; it is newer than the rest and may be left out."""
+    """An engine's record, with all fields that the platform specifies: a record in which one is
+    missing or of another type was written by another program. `born` is the start of the engine's
+    incarnation, Unix milliseconds; it was added later and is optional."""
 
     service: Annotated[str, Meta(min_length=1)]
     address: str
@@ -123,7 +123,7 @@
 
 
 class PlatformSources(Sources):
-    """The platform's topics of the desired state and of its engines."""
+    """Topics of the desired state and of the engines, and the decoders of their records."""
 
     configuration_topic = "keyed.op"
     upstream_topic = "keyed.servers"
@@ -138,7 +138,7 @@
             raise InvalidObject(str(err)) from err
 
     def drained_domain_of(self, key: str) -> str | None:
-        """Return the zone that a key orders to be drained; see `Sources.drained_domain_of`."""
+        """Return the zone that a drain order's key names; see `Sources.drained_domain_of`."""
         return key.removeprefix(DRAIN_PREFIX) if key.startswith(DRAIN_PREFIX) else None
 
     def upstream_of(self, record: KeyedRecord) -> Instance:
@@ -157,20 +157,20 @@
             role=Role.ENGINE,
             pool=server.service,
             slots=server.slots,
-            state=STATE_BY_WORD[server.state],
+            state=STATE_BY_NAME[server.state],
             born=born,
             seq=server.seq,
-            cold_s=min(MOST_COLD_S, max(0.0, server.warmup_left_ms / MS)),
+            cold_s=min(MAX_COLD_S, max(0.0, server.warmup_left_ms / MS)),
         )
 
 
 def _check_server(key: str, server: _Server) -> None:
     if not ENGINE_ID.fullmatch(key):
-        raise InvalidObject("the id can't be sent in a header")
-    if server.state not in STATE_BY_WORD:
-        raise InvalidObject(f"unknown state: {server.state!r}")
+        raise InvalidObject(f"id {key!r} contains characters that a header can't carry")
+    if server.state not in STATE_BY_NAME:
+        raise InvalidObject(f"unknown engine state {server.state!r}")
     if not is_address(server.address):
-        raise InvalidObject(f"no address: {server.address!r}")
+        raise InvalidObject(f"{server.address!r} is not a host:port address")
 
 
 def _snapshot(state: _DesiredState) -> Snapshot:
--- /dev/null
+++ b/railtide/platform/header_names.py
@@ -0,0 +1,84 @@
+"""Names of the platform's HTTP headers, each with the meaning of its value."""
+
+__all__ = [
+    "ACCOUNT",
+    "API_KEY",
+    "ATTEMPT_ID",
+    "DEADLINE_MS",
+    "EXPECTED_UPSTREAM",
+    "EXPECTED_WEIGHTS",
+    "KV_BACKUP",
+    "KV_FETCH",
+    "KV_FROM",
+    "LAST_EVENT_ID",
+    "LEAVING",
+    "LIMIT",
+    "LOAD",
+    "NOT_RUN",
+    "PROMPT_PARTS",
+    "PIN_MS",
+    "RANK",
+    "RESERVED_SLOT",
+    "RETRY_AFTER",
+    "SEAL",
+    "SET_BY_ROUTERS",
+    "TOKENS",
+]
+
+ATTEMPT_ID = b"x-attempt-id"
+"""The request's id, a new one each time a client sends it."""
+DEADLINE_MS = b"x-deadline-ms"
+"""Time that the sender is still willing to wait, milliseconds."""
+API_KEY = b"x-credential"
+ACCOUNT = b"x-tenant"
+EXPECTED_UPSTREAM = b"x-expect-instance"
+"""Id of the engine that is meant; any other engine refuses the request."""
+TOKENS = b"x-token-count"
+"""Prompt tokens and maximum output tokens, separated by a comma."""
+PROMPT_PARTS = b"x-prompt-prefix"
+"""Parts of the prompt in order, ID:TOKENS each; all but the last may be shared by requests."""
+RANK = b"x-request-urgency"
+"""Priority in the engine's queue, 0 (first) to 9 (last)."""
+LAST_EVENT_ID = b"last-event-id"
+SEAL = b"x-response-seal"
+"""The engine's signature of its response."""
+NOT_RUN = b"x-not-executed"
+"""Set by the engine if it did not execute the request."""
+LOAD = b"x-instance-load"
+"""Running requests, waiting requests and slots of the engine, separated by commas."""
+RETRY_AFTER = b"retry-after"
+"""In a 503 of an engine: seconds for which this router must send it no requests."""
+LEAVING = b"server-leaving"
+"""1 in every response of an engine that is leaving."""
+LIMIT = b"server-limit"
+"""Requests a second that an overloaded engine accepts from all routers together, a decimal."""
+EXPECTED_WEIGHTS = b"x-expect-version"
+"""Required version of the model's weights; an engine with another one refuses with 421."""
+RESERVED_SLOT = b"x-hold"
+"""Id of a slot and memory reserved at the engine."""
+PIN_MS = b"x-pin-ms"
+"""How long the engine keeps the request's KV cache after its end, milliseconds."""
+KV_BACKUP = b"x-kv-backup"
+"""Address of another engine to which the request's KV cache is copied."""
+KV_FROM = b"kv-from"
+"""Address and handle of a KV cache that the request continues from."""
+KV_FETCH = b"kv-fetch"
+"""Address of an engine from which cached parts of the prompt are fetched first."""
+
+SET_BY_ROUTERS = frozenset(
+    {
+        DEADLINE_MS,
+        API_KEY,
+        ACCOUNT,
+        EXPECTED_UPSTREAM,
+        RANK,
+        EXPECTED_WEIGHTS,
+        RESERVED_SLOT,
+        PIN_MS,
+        KV_BACKUP,
+        KV_FROM,
+        KV_FETCH,
+    }
+)
+"""Headers that a caller must not choose, and whose values from callers are never forwarded: the
+client account, the priority, KV cache kept beyond the request, and KV caches of other engines."""
--- a/railtide/platform/ingress.py
+++ b/railtide/platform/ingress.py
@@ -1,4 +1,4 @@
-"""Answers to the platform's clients: calls served, and errors in the platform's codes."""
+"""Handles requests of the platform's clients, and maps errors to the platform's statuses."""
 
 import math
 from random import Random
@@ -12,7 +12,7 @@
 from railtide.http.errors import CallerGone
 from railtide.http.messages import Headers, HttpRequest, first_header
 from railtide.http.server import Responder
-from railtide.platform import names
+from railtide.platform import header_names
 from railtide.platform.calls import call_of
 from railtide.requests.call import AnswerSink, Call
 from railtide.router.errors import Draining, NotReady
@@ -21,15 +21,15 @@
 
 __all__ = ["Ingress", "addresses_body"]
 
-SOON_S = 0.3
-"""When a caller should come back where the refusal does not say: engines and routers that start,
-leave or are full for a moment."""
+DEFAULT_RETRY_AFTER_S = 0.3
+"""Retry-After of an error that carries none: engines and routers that start, leave or are full are
+available again within moments."""
 NOT_RUN_STATUS = 503
-SERVER_ERROR = 500
+MIN_SERVER_ERROR = 500
 
 
 class _Sink(AnswerSink):
-    """Writes an answer to a client: streams as they come, all else with its length."""
+    """Writes a response to a client: streams chunk by chunk, any other with its length."""
 
     def __init__(self, responder: Responder, stream: bool) -> None:
         self._responder = responder
@@ -68,12 +68,18 @@
 
 
 class Ingress:
-    """Answers the platform's clients.
+    """Request handler for the platform's clients.
 
     Parameters
     ----------
     node : EdgeNode
     rng : random.Random
+        Chooses among the services of a route.
+
+    Attributes
+    ----------
+    refusing : bool
+        Whether new requests are refused because the router shuts down.
     """
 
     def __init__(self, node: EdgeNode, rng: Random) -> None:
@@ -84,13 +90,15 @@
         self._rng = rng
 
     async def handle(self, request: HttpRequest, responder: Responder) -> None:
-        """Answer one request; every line logged on its way carries its id."""
-        trace = _Trace(request)
+        """Handle one request; every line that is logged meanwhile carries its id."""
+        trace = _RequestTrace(request)
         with logger.contextualize(request_id=trace.request_id):
             await self._handle(request, responder, trace)
 
-    async def _handle(self, request: HttpRequest, responder: Responder, trace: "_Trace") -> None:
-        began = trio.current_time()
+    async def _handle(
+        self, request: HttpRequest, responder: Responder, trace: "_RequestTrace"
+    ) -> None:
+        received_at = trio.current_time()
         try:
             await self._node.until_current()
             call = self._decode(request, trace)
@@ -107,53 +115,59 @@
                 trace.code = "caller-gone"
             raise
         finally:
-            took_s = trio.current_time() - began
+            duration_s = trio.current_time() - received_at
             self._node.counters.add(f"answers_{trace.code.replace('-', '_')}")
-            self._durations.record(took_s, code=trace.code)
+            self._durations.record(duration_s, code=trace.code)
             if trace.sink and trace.sink.started_at:
-                trace.first_s = trace.sink.started_at - began
-                self._first_bytes.record(trace.first_s)
-            trace.write(took_s)
+                trace.first_byte_s = trace.sink.started_at - received_at
+                self._first_bytes.record(trace.first_byte_s)
+            trace.log(duration_s)
 
-    def _decode(self, request: HttpRequest, trace: "_Trace") -> Call:
+    def _decode(self, request: HttpRequest, trace: "_RequestTrace") -> Call:
         snapshot = self._node.snapshot
         if snapshot is None or not self._node.upstreams_known:
-            raise NotReady("this router has not read its configuration", retry_after=SOON_S)
+            raise NotReady(
+                "this router has not read its configuration yet", retry_after=DEFAULT_RETRY_AFTER_S
+            )
         if self.refusing:
-            raise Draining("this router is leaving; use another address", retry_after=0.0)
+            raise Draining("this router is shutting down; use another address", retry_after=0.0)
         trace.version = snapshot.version
         self._node.check_in_force()
         return call_of(request, snapshot, self._rng, trio.current_time())
 
-    async def _refuse(self, err: RailtideError, responder: Responder, trace: "_Trace") -> int:
-        """Answer a request that got no answer; one that has begun is cut off."""
+    async def _refuse(
+        self, err: RailtideError, responder: Responder, trace: "_RequestTrace"
+    ) -> int:
+        """Respond with an error, unless a response has begun; return the status, 0 for none."""
         if responder.started or isinstance(err, CallerGone):
             return 0
-        not_run = err.run is Run.NOT_RUN and err.status >= SERVER_ERROR
+        not_run = err.run is Run.NOT_RUN and err.status >= MIN_SERVER_ERROR
         status = NOT_RUN_STATUS if not_run else err.status
         headers = [(b"content-type", PROBLEM_TYPE.encode())]
-        retry_after = SOON_S if err.retry_after is None and not_run else err.retry_after
+        retry_after = (
+            DEFAULT_RETRY_AFTER_S if err.retry_after is None and not_run else err.retry_after
+        )
         if retry_after is not None:
             headers.append((b"retry-after", f"{retry_after:.2f}".encode()))
             trace.retry_after_s = round(retry_after, 2)
         if trace.request_id:
-            headers.append((names.ATTEMPT_ID, trace.request_id.encode()))
+            headers.append((header_names.ATTEMPT_ID, trace.request_id.encode()))
         await responder.answer(status, tuple(headers), problem_to_bytes(problem_of(err)))
         return status
 
 
 def _is_cancelled(err: BaseException) -> bool:
-    """Return whether an error is a cancellation, of one task or of several."""
+    """Return whether an error is a cancellation or a group of nothing but cancellations."""
     if isinstance(err, BaseExceptionGroup):
         return all(_is_cancelled(inner) for inner in err.exceptions)
     return isinstance(err, trio.Cancelled)
 
 
-class _Trace:
-    """What a request's log line says."""
+class _RequestTrace:
+    """Fields of a request's log line."""
 
     def __init__(self, request: HttpRequest) -> None:
-        self.request_id = (first_header(request.headers, names.ATTEMPT_ID) or b"").decode()
+        self.request_id = (first_header(request.headers, header_names.ATTEMPT_ID) or b"").decode()
         self.version: int | None = None
         self.call: Call | None = None
         self.sink: _Sink | None = None
@@ -161,9 +175,9 @@
         self.code = "internal-error"
         self.detail = ""
         self.retry_after_s: float | None = None
-        self.first_s: float | None = None
+        self.first_byte_s: float | None = None
 
-    def write(self, took_s: float) -> None:
+    def log(self, duration_s: float) -> None:
         call = self.call
         logger.bind(
             account=call.account if call else "",
@@ -171,14 +185,14 @@
             route=call.route if call else "",
             goal_ms=_ms(call.goal_s) if call else None,
             pause_goal_ms=_ms(call.pause_goal_s) if call else None,
-            first_ms=None if self.first_s is None else _ms(self.first_s),
+            first_ms=None if self.first_byte_s is None else _ms(self.first_byte_s),
             pause_ms=_ms(self.sink.longest_pause_s) if self.sink else None,
             version=self.version,
             status=self.status,
             code=self.code,
             detail=self.detail,
             retry_after_s=self.retry_after_s,
-            ms=_ms(took_s),
+            ms=_ms(duration_s),
         ).info("request")
 
 
@@ -187,5 +201,5 @@
 
 
 def addresses_body(addresses: list[str], ttl_s: float) -> bytes:
-    """Return the answer to a client that asks which addresses to use."""
+    """Return the response body for a client that looks up router addresses."""
     return msgspec.json.encode({"addresses": addresses, "ttl_s": ttl_s})
--- a/railtide/platform/notices.py
+++ b/railtide/platform/notices.py
@@ -1,4 +1,4 @@
-"""What engines say of themselves in the heads of their answers, decoded."""
+"""Decodes what engines report about themselves in the headers of their responses."""
 
 import math
 import re
@@ -6,7 +6,7 @@
 import trio
 
 from railtide.http.messages import Headers, first_header
-from railtide.platform import names
+from railtide.platform import header_names
 from railtide.upstreams.load import LoadReport
 from railtide.upstreams.notice import UpstreamNotice
 from railtide.upstreams.stated_limit import LimitReport
@@ -18,13 +18,13 @@
 
 
 def notice_of(status: int, headers: Headers, sent_at: float) -> UpstreamNotice:
-    """Return what an answer says of its engine.
+    """Return what a response reports about its engine.
 
     Parameters
     ----------
     status : int
     headers : Headers
-        Of an answer of which it is known that this engine gave it, to this request.
+        Of a response that is known to come from this engine and to belong to this request.
     sent_at : float
         Trio time at which the request was sent.
     """
@@ -32,39 +32,39 @@
         _load_of(headers),
         _limit_of(headers, sent_at),
         _is_leaving(headers),
-        _rest_of(status, headers),
+        _retry_after_s(status, headers),
     )
 
 
-def _rest_of(status: int, headers: Headers) -> float | None:
-    """Return the seconds that a refusal asks for, the most of several; a date is none."""
+def _retry_after_s(status: int, headers: Headers) -> float | None:
+    """Return the largest Retry-After of a 503, seconds; a date is ignored."""
     if status != UNAVAILABLE:
         return None
-    told = [value for name, value in headers if name == names.RETRY_AFTER]
-    return max((float(value) for value in told if DECIMAL.fullmatch(value)), default=None)
+    values = [value for name, value in headers if name == header_names.RETRY_AFTER]
+    return max((float(value) for value in values if DECIMAL.fullmatch(value)), default=None)
 
 
 def _is_leaving(headers: Headers) -> bool:
-    return first_header(headers, names.LEAVING) == b"1"
+    return first_header(headers, header_names.LEAVING) == b"1"
 
 
 def _load_of(headers: Headers) -> LoadReport | None:
-    told = first_header(headers, names.LOAD)
-    parts = told.split(b",") if told else []
+    value = first_header(headers, header_names.LOAD)
+    parts = value.split(b",") if value else []
     if len(parts) < 2 or not parts[0].isdigit() or not parts[1].isdigit():
         return None
     return LoadReport(int(parts[0]), int(parts[1]), False, trio.current_time())
 
 
 def _limit_of(headers: Headers, sent_at: float) -> LimitReport | None:
-    """Return the limit that is stated, the lowest of several; that there is none by silence.
+    """Return the lowest advertised limit; infinity if the engine advertises none.
 
-    Only the engine's own word ends a limit: an answer without its signature, or its word that the
-    request did not run, may be anybody's.
+    A limit ends only with a response that certainly comes from the engine, as its signature or
+    its refusal to run the request shows. Any other response without a limit reports nothing.
     """
-    told = [value for name, value in headers if name == names.LIMIT]
-    stated = [float(value) for value in told if DECIMAL.fullmatch(value)]
-    if stated:
-        return LimitReport(min(stated), sent_at)
-    is_own = any(name in (names.SEAL, names.NOT_RUN) for name, _ in headers)
-    return LimitReport(math.inf, sent_at) if is_own and not told else None
+    values = [value for name, value in headers if name == header_names.LIMIT]
+    limits = [float(value) for value in values if DECIMAL.fullmatch(value)]
+    if limits:
+        return LimitReport(min(limits), sent_at)
+    is_authentic = any(name in (header_names.SEAL, header_names.NOT_RUN) for name, _ in headers)
+    return LimitReport(math.inf, sent_at) if is_authentic and not values else None
--- a/railtide/platform/page.py
+++ b/railtide/platform/page.py
@@ -1,4 +1,8 @@
-"""Pages of a topic's records as the store sends them, read while they come."""
+"""Pages of a topic's records in the store's binary format, decoded as they arrive.
+
+A page holds the partition's end offset, the first offset that the store still keeps, and records.
+A record is a length, the length of the key, the key and the value; integers are big-endian.
+"""
 
 from railtide.journal.errors import LogUnavailable
 from railtide.journal.keyed import KeyedPage, KeyedRecord
@@ -7,14 +11,14 @@
 
 LENGTH_BYTES = 4
 OFFSET_BYTES = 8
-HEAD_BYTES = 2 * OFFSET_BYTES
+HEADER_BYTES = 2 * OFFSET_BYTES
 
 
 class PageReader:
-    """Reads a page: the end, the first kept offset, then records from an offset on.
+    """Incremental decoder of a page.
 
-    Records that are whole count, whatever becomes of the rest: an answer that breaks off in its
-    third record of 500 KB need not bring the first two again.
+    Complete records are kept if the response breaks off: after a failure in the third record of
+    500 KB the first two need not be read again.
 
     Parameters
     ----------
@@ -24,91 +28,93 @@
     Attributes
     ----------
     end : int or None
-        Where the partition ended, once it has come.
+        End offset of the partition, None until it has been received.
     """
 
     def __init__(self, start: int) -> None:
         self.end: int | None = None
         self._start = start
-        self._offset = start
+        self._next_offset = start
         self._records: list[KeyedRecord] = []
-        self._rest = bytearray()
-
-    def take(self, data: bytes) -> None:
-        """Take the next bytes of the answer."""
-        self._rest += data
-        if self.end is None and len(self._rest) >= HEAD_BYTES:
-            self.end = int.from_bytes(self._rest[:OFFSET_BYTES], "big")
-            del self._rest[:HEAD_BYTES]
+        self._buffer = bytearray()
+
+    def feed(self, data: bytes) -> None:
+        """Decode the next bytes of the response."""
+        self._buffer += data
+        if self.end is None and len(self._buffer) >= HEADER_BYTES:
+            self.end = int.from_bytes(self._buffer[:OFFSET_BYTES], "big")
+            del self._buffer[:HEADER_BYTES]
         if self.end is not None:
-            self._take_records()
-
-    def _take_records(self) -> None:
-        at = 0
-        while (record_end := self._end_of_record(at)) is not None:
-            record = _keyed_record(bytes(self._rest[at + LENGTH_BYTES : record_end]), self._offset)
+            self._decode_records()
+
+    def _decode_records(self) -> None:
+        position = 0
+        while (record_end := self._record_end(position)) is not None:
+            record = _decode_record(
+                bytes(self._buffer[position + LENGTH_BYTES : record_end]), self._next_offset
+            )
             if record:
                 self._records.append(record)
-            self._offset += 1
-            at = record_end
-        del self._rest[:at]
-
-    def _end_of_record(self, at: int) -> int | None:
-        """Return where the record that begins at a place ends, None while it is not whole."""
-        body_at = at + LENGTH_BYTES
-        if len(self._rest) < body_at:
+            self._next_offset += 1
+            position = record_end
+        del self._buffer[:position]
+
+    def _record_end(self, position: int) -> int | None:
+        """Return where the record at a position ends, None while it is incomplete."""
+        content_start = position + LENGTH_BYTES
+        if len(self._buffer) < content_start:
             return None
-        record_end = body_at + int.from_bytes(self._rest[at:body_at], "big")
-        return record_end if len(self._rest) >= record_end else None
+        record_end = content_start + int.from_bytes(self._buffer[position:content_start], "big")
+        return record_end if len(self._buffer) >= record_end else None
 
     @property
     def has_records(self) -> bool:
-        """True once a whole record has come, readable or not."""
-        return self._offset > self._start
+        """True once a complete record has been received, readable or not."""
+        return self._next_offset > self._start
 
     @property
-    def is_whole(self) -> bool:
-        """True if the answer may end here."""
-        return self.end is not None and not self._rest
+    def is_complete(self) -> bool:
+        """True if the response may end here."""
+        return self.end is not None and not self._buffer
 
     def page(self) -> KeyedPage:
-        """Return what has come whole.
+        """Return the records that are complete.
 
         Raises
         ------
         LogUnavailable
-            Not even the head has.
+            Not even the page's header is complete.
         """
         if self.end is None:
-            raise LogUnavailable("the store's answer is cut short")
-        unreadable = self._offset - self._start - len(self._records)
-        return KeyedPage(self._records, self.end, self._offset, unreadable)
+            raise LogUnavailable("the store's response is truncated")
+        unreadable = self._next_offset - self._start - len(self._records)
+        return KeyedPage(self._records, self.end, self._next_offset, unreadable)
 
 
 def page_of(data: bytes, start: int) -> KeyedPage:
-    """Return the page in a whole answer.
+    """Return the page in a complete response.
 
-    A page that was cut short is no answer. A whole record without a key and a value is another
-    writer's, and is passed over: read again, it would be the same for ever.
+    A complete record without a key and a value was written by another program. It is skipped,
+    since reading it again would give the same bytes for ever.
 
     Raises
     ------
     LogUnavailable
-        The page was cut short.
+        The page is truncated.
     """
     reader = PageReader(start)
-    reader.take(data)
-    if not reader.is_whole:
-        raise LogUnavailable("the store's answer is cut short")
+    reader.feed(data)
+    if not reader.is_complete:
+        raise LogUnavailable("the store's response is truncated")
     return reader.page()
 
 
-def _keyed_record(content: bytes, offset: int) -> KeyedRecord | None:
-    """Return the key and value in a record's content, None where it holds none."""
-    name_end = 1 + content[0] if content else 1
-    if len(content) < name_end:
+def _decode_record(content: bytes, offset: int) -> KeyedRecord | None:
+    """Return the key and value in a record's content, None if it is malformed."""
+    key_end = 1 + content[0] if content else 1
+    if len(content) < key_end:
         return None
     try:
-        return KeyedRecord(content[1:name_end].decode(), content[name_end:], offset)
+        return KeyedRecord(content[1:key_end].decode(), content[key_end:], offset)
     except UnicodeDecodeError:
         return None
--- a/railtide/platform/program.py
+++ b/railtide/platform/program.py
@@ -34,34 +34,34 @@
 PREFIX = "RAILTIDE_EDGE"
 OK = 200
 EXIT_ADDRESS_IN_USE = 3
-"""Exit code of a process whose address another one has."""
+"""Exit code if another process listens at the address for client requests."""
 UNAVAILABLE = 503
 NOT_FOUND = 404
 JSON = ((b"content-type", b"application/json"),)
 METRICS_PORT = 9464
-"""As `deploy/system.toml` says; the port that the Prometheus exporters of OpenTelemetry use."""
+"""As in `deploy/system.toml`; the default port of OpenTelemetry's Prometheus exporters."""
 NO_ERA = -1
-"""On the metrics page while the store has told no era."""
-LEAVE_MARGIN_S = 1.0
-"""Left before the platform's SIGKILL to give budgets back and end."""
-RETRY_PART = 0.5
-"""Part of the retries allowed to all routers that is used: they count without one another, and
-the platform counts in windows that slide."""
+"""Value of the metric while the store has reported no era."""
+SHUTDOWN_MARGIN_S = 1.0
+"""Kept free before the platform's SIGKILL, to return budgets and exit."""
+USED_RETRY_SHARE = 0.5
+"""Share of the permitted retries that routers make. They count independently of one another, and
+the platform counts in sliding windows."""
 LEDGER_PARTITIONS = 3
-"""Partitions of the ledgers. Must never change: an account's ledger would be in two places. Three
-halve the conflicts of 89 routers and cost 8 routers two more reads a second."""
-PROCESSOR_S_OF_A_REQUEST = 0.005
-"""Processor time for each request, on a common core: 20 s for 2,700 requests on a day of 7 routers,
-a third of it their starts (docs/MEASUREMENTS.md)."""
-MEGABITS_OF_A_REQUEST = 0.15
-"""Sent or received for each request: a body of up to 18 KB each way on the users' sheets."""
-STOPS = (signal.SIGTERM, signal.SIGINT)
-ANSWER_LAST_S = 0.2
-"""Left at the end of a shutdown for the last lines and closing connections."""
+"""Partitions of the ledgers. Must never change: an account's ledger would be in two partitions.
+Three halve the append conflicts of 89 routers, and cost 8 routers two more reads a second."""
+CPU_S_PER_REQUEST = 0.005
+"""Processor time of a request on a standard core. A day of 7 routers takes 20 s for 2,700 requests,
+a third of it for the routers' starts (docs/MEASUREMENTS.md)."""
+MEGABITS_PER_REQUEST = 0.15
+"""Traffic of a request in each direction; the specified bodies have up to 18 KB."""
+STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
+FLUSH_S = 0.2
+"""Kept free at the end of a shutdown for the last log lines and for closing connections."""
 
 
 class EdgeSettings(BaseModel):
-    """Checked settings of an edge router that the platform's file does not hold."""
+    """Settings of an edge router that are not in the platform's settings file."""
 
     metrics_port: int = Field(ge=1, le=65_535)
     budget_horizon_s: float = Field(gt=0, le=600)
@@ -77,18 +77,21 @@
     budget_most_share: float = LedgerOptions.most_share,
     budget_spread_share: float = LedgerOptions.spread_share,
 ) -> None:
-    """Take callers' requests and answer them within their prepaid budgets, on the platform.
+    """Serve callers' requests within their prepaid budgets, on the platform.
 
-    The platform's settings file is named by RAILTIDE_BOOT. Every flag can be given in the
-    environment as RAILTIDE_EDGE_<FLAG>; the flag goes first. SIGTERM begins a graceful shutdown,
-    SIGHUP reads the settings again.
+    RAILTIDE_BOOT names the platform's settings file. Every flag can also be set by the environment
+    variable RAILTIDE_EDGE_<FLAG>; the flag takes precedence. SIGTERM begins a graceful shutdown,
+    SIGHUP checks the settings file again.
 
-    :param log_level: least level of log lines
+    :param log_level: minimum level of log lines
     :param metrics_port: port of the metrics page
-    :param budget_horizon_s: seconds of an account's traffic that a router holds; more serves longer
-        without the store, less is written off when a router is killed
-    :param budget_most_share: most of what is left of a budget that lies with all routers, 0 to 1
-    :param budget_spread_share: part of what is left that is spread over all routers alike, 0 to 1
+    :param budget_horizon_s: seconds of an account's traffic that a router holds as its allocation;
+        a longer horizon serves longer while the store is unavailable, and loses more units when a
+        router is killed
+    :param budget_most_share: maximum share of a budget's remainder that is allocated to routers,
+        0 to 1
+    :param budget_spread_share: share of the remainder that is allocated to all routers in equal
+        parts, 0 to 1
     """
     settings = checked(
         EdgeSettings,
@@ -105,7 +108,7 @@
     lines = set_up_lines(f"edge/{boot.instance}", log_level)
     set_up_meters(f"railtide-edge/{boot.instance}")
     rng = new_rng()
-    identity = Identity(boot.instance, boot.failure_domain, boot.calls, new_incarnation())
+    identity = Identity(boot.instance, boot.failure_domain, boot.client_address, new_incarnation())
     counters = Counters()
     store = PlatformStore(boot.store, counters)
     upstreams = PlatformUpstreams()
@@ -118,20 +121,20 @@
     observe_each("read_age", "s", "topic", node.read_ages_s)
     node.on_snapshot = partial(_apply_limits, limits)
     ingress = Ingress(node, rng)
-    calls = HttpServer(ingress.handle, limits)
-    entrance = await _listen_or_end(boot.calls, lines)
-    logger.bind(incarnation=identity.incarnation, address=boot.calls).info("started")
+    server = HttpServer(ingress.handle, limits)
+    listener = await _listen_or_exit(boot.client_address, lines)
+    logger.bind(incarnation=identity.incarnation, address=boot.client_address).info("started")
     async with trio.open_nursery() as nursery:
         nursery.start_soon(lines.run)
         nursery.start_soon(node.run)
-        nursery.start_soon(calls.serve, entrance)
-        nursery.start_soon(_serve, _page(partial(_readiness, node)), boot.readiness)
-        nursery.start_soon(_serve, _page(partial(_lookup, node)), boot.lookup)
-        nursery.start_soon(_serve, _page(_metrics), f"{boot.host}:{settings.metrics_port}")
-        nursery.start_soon(_reload_on_signal)
+        nursery.start_soon(server.serve, listener)
+        nursery.start_soon(_serve, _server(partial(_readiness, node)), boot.readiness_address)
+        nursery.start_soon(_serve, _server(partial(_directory, node)), boot.directory_address)
+        nursery.start_soon(_serve, _server(_metrics), f"{boot.host}:{settings.metrics_port}")
+        nursery.start_soon(_check_settings_on_sighup)
         relax_gc()
-        await nursery.start(_listen_for_stops)
-        await _leave(node, ingress, calls)
+        await nursery.start(_wait_for_stop_signal)
+        await _shut_down(node, ingress, server)
         lines.flush()
         nursery.cancel_scope.cancel()
 
@@ -144,29 +147,29 @@
             most_share=settings.budget_most_share,
             spread_share=settings.budget_spread_share,
         ),
-        leave_s=max(0.0, boot.grace_s - LEAVE_MARGIN_S),
-        retry_share=boot.retry_ratio * RETRY_PART,
-        retry_slack=boot.retry_slack * RETRY_PART,
-        capacity=_capacity(boot),
+        leave_s=max(0.0, boot.grace_s - SHUTDOWN_MARGIN_S),
+        retry_share=boot.retry_ratio * USED_RETRY_SHARE,
+        retry_slack=boot.retry_slack * USED_RETRY_SHARE,
+        capacity=_capacity_per_s(boot),
     )
 
 
-def _capacity(boot: Boot) -> float:
-    """Return the requests a second that an instance carries, by its processor and its link."""
-    by_processor = boot.processor / PROCESSOR_S_OF_A_REQUEST
-    by_link = boot.link_mbps / MEGABITS_OF_A_REQUEST
-    return min(by_processor, by_link)
+def _capacity_per_s(boot: Boot) -> float:
+    """Return the requests a second that an instance can serve with its processor and its link."""
+    by_cpu = boot.cpu_speed / CPU_S_PER_REQUEST
+    by_link = boot.link_mbps / MEGABITS_PER_REQUEST
+    return min(by_cpu, by_link)
 
 
-async def _leave(node: EdgeNode, ingress: Ingress, calls: HttpServer) -> None:
-    """Shut down: answer what comes until callers have left, then refuse, then close."""
-    calls.closing = True
+async def _shut_down(node: EdgeNode, ingress: Ingress, server: HttpServer) -> None:
+    """Serve requests until callers use other routers, then refuse new ones, then close."""
+    server.closing = True
     async with trio.open_nursery() as nursery:
         nursery.start_soon(node.drain)
         await trio.sleep(node.options.leave_accept_s)
         ingress.refusing = True
-    calls.close_idle()
-    await trio.sleep(ANSWER_LAST_S)
+    server.close_idle()
+    await trio.sleep(FLUSH_S)
 
 
 def _apply_limits(limits: ConnectionLimits, snapshot: Snapshot) -> None:
@@ -177,11 +180,11 @@
         limits.idle_timeout_s = snapshot.limits.idle_timeout_s
 
 
-async def _listen_or_end(address: str, lines: LineBuffer) -> trio.SocketListener:
-    """Return a listener for callers, or end the process if another one listens there.
+async def _listen_or_exit(address: str, lines: LineBuffer) -> trio.SocketListener:
+    """Return a listener for client requests, or exit if another process listens at the address.
 
-    It comes before the ledgers are read: there this process is taken for a proof that the one
-    before it is dead, and what that one held is given out again.
+    This precedes the reading of the ledgers, where this process counts as proof that the former
+    process of the instance is dead, so that the former one's allocations are released.
     """
     try:
         return await listen(*endpoint(address))
@@ -201,7 +204,7 @@
     await server.serve(listener)
 
 
-def _page(handler) -> HttpServer:
+def _server(handler) -> HttpServer:
     return HttpServer(handler, ConnectionLimits())
 
 
@@ -209,8 +212,8 @@
     await responder.answer(OK if node.ready else UNAVAILABLE, ())
 
 
-async def _lookup(node: EdgeNode, request: HttpRequest, responder: Responder) -> None:
-    """Answer which addresses a client of a zone may use."""
+async def _directory(node: EdgeNode, request: HttpRequest, responder: Responder) -> None:
+    """Respond with the router addresses for clients of a zone."""
     parts = urlsplit(request.target.decode("latin-1"))
     if parts.path != "/resolve":
         await responder.answer(NOT_FOUND, ())
@@ -228,30 +231,30 @@
     await responder.answer(OK, headers, generate_latest())
 
 
-async def _listen_for_stops(task_status: trio.TaskStatus) -> None:
-    """Be started at the first SIGTERM or SIGINT, and only note all others.
+async def _wait_for_stop_signal(task_status: trio.TaskStatus) -> None:
+    """Report started at the first SIGTERM or SIGINT, and only log all later ones.
 
-    A second one would end the process in the middle of its answers if nothing listened: three
-    routers, each asked to end up to four times, lost 13 requests that engines had run. One that
-    comes when all is done would make the end look like a failure.
+    With the default handler a second signal would kill the process in the middle of its responses:
+    three routers that got up to four signals each lost 13 requests that engines had run. At the end
+    the signals are ignored, since one that arrives then would make the exit look like a failure.
     """
     try:
-        with trio.open_signal_receiver(*STOPS) as signals:
-            stop = await anext(signals)
-            logger.bind(signal=signal.Signals(stop).name).info("stopping")
+        with trio.open_signal_receiver(*STOP_SIGNALS) as signals:
+            signal_number = await anext(signals)
+            logger.bind(signal=signal.Signals(signal_number).name).info("stopping")
             task_status.started()
-            async for again in signals:
-                logger.bind(signal=signal.Signals(again).name).info("stopping-already")
+            async for repeated in signals:
+                logger.bind(signal=signal.Signals(repeated).name).info("stopping-already")
     finally:
-        for stop in STOPS:
-            signal.signal(stop, signal.SIG_IGN)
+        for signal_number in STOP_SIGNALS:
+            signal.signal(signal_number, signal.SIG_IGN)
 
 
-async def _reload_on_signal() -> None:
-    """Say at each SIGHUP that the settings were read; all that is used is fixed at the start.
+async def _check_settings_on_sighup() -> None:
+    """Read and validate the settings file at each SIGHUP; the settings in use don't change.
 
-    Before and after, SIGHUP is ignored (see `edge`): by default it ends a process, as it did one
-    router of three that were at the end of their shutdown, in two seeds of the soak.
+    Before and after this task, SIGHUP is ignored (see `edge`). By default it kills the process, as
+    it did with one of three routers at the end of their shutdown, in two seeds of the soak test.
     """
     with trio.open_signal_receiver(signal.SIGHUP) as signals:
         async for _ in signals:
--- a/railtide/platform/start.py
+++ b/railtide/platform/start.py
@@ -1,8 +1,8 @@
-"""The start of `railtide-edge`: its parts are loaded without a look for cyclic garbage.
+"""Entry point of `railtide-edge`, which imports the program with garbage collection disabled.
 
-Loading makes many objects that stay, and each look goes through all of them. The collector is
-switched on again, for what comes after, by `relax_gc`. A start takes 1.04 s of processor time in
-place of 1.19 s, and 1 MB more (four runs each in turn, one machine).
+Imports create many long-lived objects, and each collection would traverse all of them. `relax_gc`
+enables the collector again once the router has started. A start takes 1.04 s of processor time
+instead of 1.19 s, and 1 MB more memory.
 """
 
 import gc
--- a/railtide/platform/store.py
+++ b/railtide/platform/store.py
@@ -1,4 +1,4 @@
-"""The client of the platform's store: keyed topics over HTTP."""
+"""Client of the platform's store: keyed topics over HTTP."""
 
 from base64 import b64decode
 from collections.abc import Callable
@@ -21,42 +21,42 @@
 from railtide.journal.keyed import AppendConflict, KeyedPage, KeyedRecord, KeyedStore
 from railtide.journal.patience import Patience
 from railtide.journal.transfer import Transfer
-from railtide.platform.answers import (
+from railtide.platform.partial_json import complete_items
+from railtide.platform.store_responses import (
     OK,
-    FirstRecordCame,
-    PageAnswer,
-    StoreAnswer,
-    WholeAnswer,
-    era_told,
+    BufferedResponse,
+    FirstRecordReceived,
+    PageResponse,
+    StoreResponse,
+    era_header,
 )
-from railtide.platform.items import whole_items
 from railtide.telemetry.counters import Counters
 
 __all__ = ["PlatformStore"]
 
-READ = "/log-read"
-CONFLICT = 412
-EXPIRED = 410
-
-HEAD_S = 1.0
-"""Usual wait for an answer's first byte, beyond what a read asks for. The store answers in 4 ms,
-240 ms when it is slow; a silent one is noticed while the desired state may still be late."""
-MOST_HEAD_S = 8.0
-"""Longest such wait. All reads share one rate: 1,100 routers that read a desired state of 500 KB
-at once through 80 MB a second are served within 7 s."""
-STALL_S = 1.0
-"""Within this time an answer that has begun brings more. Above the pause after a segment that is
-lost and lost again when it is repeated (0.2 and 0.4 s), and as soon as `HEAD_S` for a connection
-that falls silent."""
-PAUSE_S = 0.1
-PAUSE_MOST_S = 0.8
-"""Waits between two calls beside one that is silent; as between a feed's tries."""
-SMALL_BYTES = 65_536
-"""Body of an append up to which it leaves the system's buffers within 0.1 s, at 5 Mbit/s."""
-RESUME_S = 10.0
-"""For how long after the last page that came the pages of a read that broke off are kept. Half of
-the shortest history on the users' sheets: what came since can still be read. How long the whole
-takes has no bound; records that expired meanwhile are told by the next read."""
+READ_PATH = "/log-read"
+PRECONDITION_FAILED = 412
+GONE = 410
+
+FIRST_BYTE_TIMEOUT_S = 1.0
+"""Usual timeout for the first byte of a response, on top of the wait that a read asks for. The
+store responds within 4 ms, within 240 ms when it is slow. An unresponsive store is detected in less
+time than a router has to apply a new desired state."""
+MAX_FIRST_BYTE_TIMEOUT_S = 8.0
+"""All reads share the store's bandwidth: 1,100 routers that read a desired state of 500 KB at once
+through 80 MB/s are served within 7 s."""
+STALL_TIMEOUT_S = 1.0
+"""Longest gap within a response. Above the pause after two losses of the same TCP segment (0.2 s
+and 0.4 s), and as short as `FIRST_BYTE_TIMEOUT_S` to detect a dead connection."""
+HEDGE_DELAY_S = 0.1
+MAX_HEDGE_DELAY_S = 0.8
+"""Bounds of the backoff between hedged requests; the same as between the retries of a feed."""
+SMALL_APPEND_BYTES = 65_536
+"""At 5 Mbit/s a body of this size leaves the system's send buffers within 0.1 s."""
+RESUME_TTL_S = 10.0
+"""Age, since the latest page, up to which an interrupted read of the newest records is resumed.
+Half of the shortest retention in the specification, so that later records can still be read. The
+whole read may take any time: if records expire meanwhile, the next read raises `RecordsExpired`."""
 LENGTH_BYTES = 4
 
 
@@ -67,7 +67,7 @@
 
 
 class _Newest(msgspec.Struct):
-    """Each item is decoded by itself: one that can't be read does not take the others with it."""
+    """Items are decoded one by one, so that a malformed one does not affect the others."""
 
     items: list[msgspec.Raw]
     has_more: bool = False
@@ -83,107 +83,125 @@
 
 
 @dataclass(frozen=True)
-class _Ask:
-    """A call.
+class _Operation:
+    """A request to the store.
 
     Attributes
     ----------
     start : int or None
-        Offset of the first record that a read asks for.
-    held_s : float
-        For how long a read asks the store to hold its answer until a record comes, seconds.
+        Offset of the first record to read.
+    long_poll_s : float
+        How long the store may wait for a record before it responds to a read, seconds.
     """
 
     method: bytes
-    call: str
+    path: str
     topic: str
     partition: int
     query: str = ""
     body: bytes = b""
     start: int | None = None
-    held_s: float = 0.0
+    long_poll_s: float = 0.0
     is_conditional: bool = False
 
     @property
     def target(self) -> bytes:
-        read = "" if self.start is None else f"&from={self.start}&wait_ms={self.held_s * 1000:.0f}"
-        return f"{self.call}?topic={self.topic}&part={self.partition}{read}{self.query}".encode()
+        read = (
+            ""
+            if self.start is None
+            else f"&from={self.start}&wait_ms={self.long_poll_s * 1000:.0f}"
+        )
+        return f"{self.path}?topic={self.topic}&part={self.partition}{read}{self.query}".encode()
 
     @property
-    def subject(self) -> str | None:
-        """What waits for its answers by itself, None for what always waits as usual.
+    def timeout_key(self) -> str | None:
+        """Key of the adaptive first-byte timeout, None if the usual timeout always applies.
 
-        What became of an append is learnt by reading, and a store that loses the answers of a third
-        of them is not slow. A large one waits for its own bytes, which the system still keeps.
+        The usual one applies to small appends: their outcome can be read from the topic, and a
+        store that loses the responses of a third of them is not slow. A large append may have to
+        wait until its own body has left the system's send buffers.
         """
-        is_small_append = 0 < len(self.body) <= SMALL_BYTES
-        return None if is_small_append else f"{self.call} {self.topic} {self.partition}"
+        is_small_append = 0 < len(self.body) <= SMALL_APPEND_BYTES
+        return None if is_small_append else f"{self.path} {self.topic} {self.partition}"
 
 
 @dataclass
-class _Pages:
-    """Pages of the newest records, as far as they have come."""
+class _NewestRead:
+    """A read of the newest records that is in progress or was interrupted.
+
+    Attributes
+    ----------
+    received_at : float
+        Trio time of the latest page.
+    end : int or None
+        Offset from which later records are to be read.
+    item_count : int
+        Items that were received, readable or not.
+    after : str
+        Query parameter that asks for the next page.
+    """
 
-    came_at: float
+    received_at: float
     end: int | None = None
-    items: int = 0
+    item_count: int = 0
     records: list[KeyedRecord] = field(default_factory=list)
     after: str = ""
 
     def add(self, page: _Newest) -> None:
-        """Take the next page.
+        """Add a complete page.
 
         Raises
         ------
         LogUnavailable
-            None of its items can be read, so it is not known how to go on.
+            No item is readable, so the key to continue after is unknown.
         """
-        read = [record for item in page.items if (record := _record_of(item))]
-        if page.has_more and not read:
-            raise LogUnavailable("a whole page of the newest records is unreadable")
+        decoded = [record for item in page.items if (record := _decode_item(item))]
+        if page.has_more and not decoded:
+            raise LogUnavailable("a page of the newest records has no readable item")
         self.end = page.end_offset if self.end is None else self.end
-        self.came_at = trio.current_time()
-        self.items += len(page.items)
-        self.records += read
+        self.received_at = trio.current_time()
+        self.item_count += len(page.items)
+        self.records += decoded
         if page.has_more:
-            self._go_on_after(read[-1])
+            self._continue_after(decoded[-1])
 
-    def add_part(self, items: list[bytes]) -> bool:
-        """Take the items that came of a page which broke off; return whether any is kept.
+    def add_partial(self, items: list[bytes]) -> bool:
+        """Add the complete items of a truncated page; return whether they are kept.
 
-        They are kept only where they show that they come in the order of their keys. Where the
-        partition ended is told at the answer's end; it is behind each record of the page, so that
-        reading on from after the last of them misses nothing.
+        They are kept only if there are at least two and their keys ascend, since the next page is
+        asked for by key. The end offset comes at the end of a response and is missing here. It is
+        greater than the offset of every record in the page, so reading from the offset after the
+        highest one misses nothing.
         """
-        read = [record for item in items if (record := _record_of(item))]
-        keys = [record.key for record in read]
+        decoded = [record for item in items if (record := _decode_item(item))]
+        keys = [record.key for record in decoded]
         if len(keys) < 2 or keys != sorted(set(keys)):
             return False
         if self.end is None:
-            self.end = 1 + max(record.offset for record in read)
-        self.came_at = trio.current_time()
-        self.items += len(items)
-        self.records += read
-        self._go_on_after(read[-1])
+            self.end = 1 + max(record.offset for record in decoded)
+        self.received_at = trio.current_time()
+        self.item_count += len(items)
+        self.records += decoded
+        self._continue_after(decoded[-1])
         return True
 
-    def _go_on_after(self, record: KeyedRecord) -> None:
+    def _continue_after(self, record: KeyedRecord) -> None:
         self.after = f"&after={quote(record.key, safe='')}"
 
 
 class PlatformStore(KeyedStore):
     """Keyed topics of the platform's store.
 
-    Each answer's era is taken before anything else of it; see `Eras`.
+    The era of a response is checked before the rest of it is used; see `Eras`.
 
-    A call is bounded by silence and never as a whole: see `StallWatch`.
+    Timeouts bound the gaps of an operation and never its total time; see `StallWatch`.
 
     Parameters
     ----------
     address : str
         host:port.
     counters : Counters
-        Calls are counted by kind and by outcome.
+        Counts operations and bytes by outcome.
     """
 
     def __init__(self, address: str, counters: Counters) -> None:
@@ -191,20 +209,20 @@
         self._pool = PeerPool(host, int(port))
         self._host = address.encode()
         self._counters = counters
-        self._patience = Patience(HEAD_S, MOST_HEAD_S)
+        self._patience = Patience(FIRST_BYTE_TIMEOUT_S, MAX_FIRST_BYTE_TIMEOUT_S)
         self._rng = Random(address)
-        self._pages_by_topic: dict[tuple[str, int], _Pages] = {}
-        self._told_unreadable: set[str] = set()
+        self._newest_read_by_partition: dict[tuple[str, int], _NewestRead] = {}
+        self._topics_reported_unreadable: set[str] = set()
         self._eras = Eras(counters)
-        self._eras.on_rise(self._pages_by_topic.clear)
+        self._eras.on_rise(self._newest_read_by_partition.clear)
 
     @property
     def era(self) -> int | None:
-        """The era of the newest answer; see `KeyedStore.era`."""
+        """Current era of the store; see `KeyedStore.era`."""
         return self._eras.current
 
     def on_rise(self, listener: Callable[[], None]) -> None:
-        """Have a listener told; see `KeyedStore.on_rise`."""
+        """Add a listener; see `KeyedStore.on_rise`."""
         self._eras.on_rise(listener)
 
     async def newest(
@@ -212,41 +230,43 @@
     ) -> KeyedPage:
         """Return the newest records; see `KeyedStore.newest`.
 
-        Pages that have come are kept when a later one breaks off, and the next read goes on there.
+        The pages of an interrupted read are kept, and the next read continues after them.
         """
-        pages = self._resumed(topic, partition)
-        more = True
-        while more:
-            ask = _Ask(b"GET", "/log-newest", topic, partition, pages.after)
-            page = await self._next_page(ask, pages, transfer)
-            pages.add(page)
-            more = page.has_more
-            self._pages_by_topic[(topic, partition)] = pages
-        self._pages_by_topic.pop((topic, partition), None)
-        unreadable = pages.items - len(pages.records)
-        self._tell_unreadable(topic, unreadable)
-        ordered = sorted(pages.records, key=lambda record: record.offset)
-        return KeyedPage(ordered, pages.end, pages.end, unreadable)
-
-    async def _next_page(self, ask: _Ask, pages: _Pages, transfer: Transfer | None) -> _Newest:
-        """Return a page; of one that breaks off the items that came whole are kept."""
-        answer = WholeAnswer(transfer)
+        newest_read = self._resume_or_start(topic, partition)
+        more_pages = True
+        while more_pages:
+            operation = _Operation(b"GET", "/log-newest", topic, partition, newest_read.after)
+            page = await self._next_page(operation, newest_read, transfer)
+            newest_read.add(page)
+            more_pages = page.has_more
+            self._newest_read_by_partition[(topic, partition)] = newest_read
+        self._newest_read_by_partition.pop((topic, partition), None)
+        unreadable = newest_read.item_count - len(newest_read.records)
+        self._report_unreadable(topic, unreadable)
+        ordered = sorted(newest_read.records, key=lambda record: record.offset)
+        return KeyedPage(ordered, newest_read.end, newest_read.end, unreadable)
+
+    async def _next_page(
+        self, operation: _Operation, newest_read: _NewestRead, transfer: Transfer | None
+    ) -> _Newest:
+        """Return the next page; the complete items of a truncated one are kept."""
+        response = BufferedResponse(transfer)
         try:
-            await self._stream_hedged(ask, answer, transfer)
+            await self._stream_hedged(operation, response, transfer)
         except EraRisen:
             raise
         except LogUnavailable:
-            if answer.status == OK and pages.add_part(whole_items(answer.body)):
+            if response.status == OK and newest_read.add_partial(complete_items(response.body)):
                 self._counters.add("store_answers_kept_in_part")
-                self._pages_by_topic[(ask.topic, ask.partition)] = pages
+                self._newest_read_by_partition[(operation.topic, operation.partition)] = newest_read
             raise
-        return _decode(bytes(answer.body), _Newest)
+        return _decode(bytes(response.body), _Newest)
 
-    def _resumed(self, topic: str, partition: int) -> _Pages:
-        known = self._pages_by_topic.get((topic, partition))
-        if known and trio.current_time() - known.came_at <= RESUME_S:
-            return known
-        return _Pages(trio.current_time())
+    def _resume_or_start(self, topic: str, partition: int) -> _NewestRead:
+        kept = self._newest_read_by_partition.get((topic, partition))
+        if kept and trio.current_time() - kept.received_at <= RESUME_TTL_S:
+            return kept
+        return _NewestRead(trio.current_time())
 
     async def read(
         self,
@@ -257,33 +277,34 @@
         transfer: Transfer | None = None,
     ) -> KeyedPage:
         """Return records; see `KeyedStore.read`."""
-        ask = _Ask(b"GET", READ, topic, partition, start=start, held_s=wait_s)
-        answer = PageAnswer(start, transfer)
-        reader = answer.reader
+        operation = _Operation(b"GET", READ_PATH, topic, partition, start=start, long_poll_s=wait_s)
+        response = PageResponse(start, transfer)
+        reader = response.reader
         try:
-            await self._stream_hedged(ask, answer, transfer)
-        except FirstRecordCame:
-            pass  # the page holds it
+            await self._stream_hedged(operation, response, transfer)
+        except FirstRecordReceived:
+            pass  # the reader holds it
         except EraRisen:
             raise
         except LogUnavailable:
             if not reader.has_records:
                 raise
             self._counters.add("store_answers_kept_in_part")
-        if not reader.is_whole and not reader.has_records:
-            raise LogUnavailable("the store's answer is cut short")
+        if not reader.is_complete and not reader.has_records:
+            raise LogUnavailable("the store's response is truncated")
         page = reader.page()
-        self._pages_by_topic.pop((topic, partition), None)  # what is read after them outdates them
-        self._tell_unreadable(topic, page.unreadable)
+        # Kept pages may be older than the records just read, and must not be returned after them.
+        self._newest_read_by_partition.pop((topic, partition), None)
+        self._report_unreadable(topic, page.unreadable)
         return page
 
-    def _tell_unreadable(self, topic: str, count: int) -> None:
-        """Count records that can't be read, and say so once for a topic."""
+    def _report_unreadable(self, topic: str, count: int) -> None:
+        """Count unreadable records, and log the first ones of each topic."""
         if not count:
             return
         self._counters.add("store_records_unreadable", count)
-        if topic not in self._told_unreadable:
-            self._told_unreadable.add(topic)
+        if topic not in self._topics_reported_unreadable:
+            self._topics_reported_unreadable.add(topic)
             logger.bind(topic=topic, records=count).error("records-unreadable")
 
     async def append(
@@ -295,136 +316,152 @@
     ) -> int:
         """Append records; see `KeyedStore.append`."""
         query = "" if expected_end is None else f"&expected_offset={expected_end}"
-        body = b"".join(_record_bytes(key, value) for key, value in values_by_key.items())
-        ask = _Ask(
+        body = b"".join(_encode_record(key, value) for key, value in values_by_key.items())
+        operation = _Operation(
             b"POST", "/log-append", topic, partition, query, body, is_conditional=bool(query)
         )
-        return _decode(await self._call(ask), _Appended).end_offset
+        return _decode(await self._response_body(operation), _Appended).end_offset
 
-    # -- calls --------------------------------------------------------------------------------
+    # -- requests -----------------------------------------------------------------------------
 
-    async def _call(self, ask: _Ask) -> bytes:
-        """Return the body of a whole answer."""
-        answer = WholeAnswer()
-        await self._stream(ask, answer)
-        return bytes(answer.body)
+    async def _response_body(self, operation: _Operation) -> bytes:
+        response = BufferedResponse()
+        await self._stream(operation, response)
+        return bytes(response.body)
 
     async def _stream_hedged(
-        self, ask: _Ask, answer: StoreAnswer, transfer: Transfer | None
+        self, operation: _Operation, response: StoreResponse, transfer: Transfer | None
     ) -> None:
-        """Make a call, and others beside it while it stays silent, if a reader follows it.
+        """Send a request, hedged by more requests while there is no response.
 
-        A call that was given up for its silence lost its place at a store that answers slowly: of
-        one that takes 1.6 s an answer each try of 1.0 s was in vain, and a longer one was cut off
-        0.1 s before its answer by the first word of another.
+        Without a `transfer` the request is not hedged. Abandoning a request that has no response
+        yet gives up its place in the queue of a slow store: where a response took 1.6 s, every
+        attempt of 1.0 s was in vain, and a longer one was abandoned 0.1 s before its response,
+        since the response to another request had begun.
         """
         if transfer is None:
-            await self._stream(ask, answer)
+            await self._stream(operation, response)
             return
 
-        def note_silent(err: LogUnavailable | None) -> None:
+        def on_no_response(err: LogUnavailable | None) -> None:
             if err is None:
                 self._counters.add("store_calls_hedged")
-                self._patience.note_silent(ask.subject)
+                self._patience.note_silent(operation.timeout_key)
                 self._pool.drop_idle()
-            transfer.note_silent(err or LogUnavailable(f"{ask.call}: no answer yet"))
+            transfer.note_silent(err or LogUnavailable(f"{operation.path}: no response yet"))
 
-        async def first(claim: Claim) -> None:
-            await self._stream(ask, answer, MOST_HEAD_S, claim)
+        async def send_first(claim: Claim) -> None:
+            await self._stream(operation, response, MAX_FIRST_BYTE_TIMEOUT_S, claim)
 
-        async def beside(claim: Claim) -> None:
-            await self._stream(replace(ask, held_s=0.0), answer, claim=claim)
+        async def send_hedge(claim: Claim) -> None:
+            await self._stream(replace(operation, long_poll_s=0.0), response, claim=claim)
 
-        pauses = Backoff(PAUSE_S, PAUSE_MOST_S, self._rng)
-        await hedged(first, beside, ask.held_s + HEAD_S, note_silent, pauses)
+        backoff = Backoff(HEDGE_DELAY_S, MAX_HEDGE_DELAY_S, self._rng)
+        await hedged(
+            send_first,
+            send_hedge,
+            operation.long_poll_s + FIRST_BYTE_TIMEOUT_S,
+            on_no_response,
+            backoff,
+        )
 
     async def _stream(
         self,
-        ask: _Ask,
-        answer: StoreAnswer,
-        longest_s: float | None = None,
+        operation: _Operation,
+        response: StoreResponse,
+        fixed_timeout_s: float | None = None,
         claim: Claim = lambda: None,
     ) -> None:
-        """Make a call, and hand on the body of a good answer as it comes.
+        """Send a request, and feed the body to `response` as it arrives.
 
-        With `longest_s` the wait for its beginning is that, whatever is usual.
+        `fixed_timeout_s` replaces the adaptive timeout for the first byte.
         """
         self._counters.add("store_calls")
-        self._counters.add("store_bytes_sent", len(ask.body))
-        head_s = self._patience.head_s(ask.subject)
-        watch = StallWatch(ask.held_s + (longest_s or head_s), max(STALL_S, head_s))
+        self._counters.add("store_bytes_sent", len(operation.body))
+        first_byte_timeout_s = self._patience.head_s(operation.timeout_key)
+        watch = StallWatch(
+            operation.long_poll_s + (fixed_timeout_s or first_byte_timeout_s),
+            max(STALL_TIMEOUT_S, first_byte_timeout_s),
+        )
         rises = self._eras.rises
-        if longest_s is None:
-            self._patience.note_sent(watch, head_s, ask.held_s)
+        if fixed_timeout_s is None:
+            self._patience.note_sent(watch, first_byte_timeout_s, operation.long_poll_s)
         try:
             with watch:
-                await self._exchange(ask, answer, watch, rises, claim)
+                await self._exchange(operation, response, watch, rises, claim)
         except HttpError as err:
-            self._note_unanswered(ask, watch, err)
+            self._note_failure(operation, watch, err)
             self._eras.check(rises)
-            raise LogUnavailable(f"{ask.call}: {err.code}, {err.detail}") from err
+            raise LogUnavailable(f"{operation.path}: {err.code}, {err.detail}") from err
         finally:
             self._patience.note_ended(watch)
         self._counters.add("store_bytes_received", watch.received)
         self._eras.check(rises)
-        self._check(ask, answer)
+        self._raise_for_status(operation, response)
 
-    def _note_unanswered(self, ask: _Ask, watch: StallWatch, err: HttpError) -> None:
+    def _note_failure(self, operation: _Operation, watch: StallWatch, err: HttpError) -> None:
         self._counters.add("store_calls_unanswered")
         self._counters.add("store_bytes_discarded", watch.received)
         if isinstance(err, Stalled):
             self._pool.drop_idle()
             if watch.received < LEAST_BYTES:
-                self._patience.note_silent(ask.subject)
+                self._patience.note_silent(operation.timeout_key)
 
     async def _exchange(
-        self, ask: _Ask, answer: StoreAnswer, watch: StallWatch, rises: int, claim: Claim
+        self,
+        operation: _Operation,
+        response: StoreResponse,
+        watch: StallWatch,
+        rises: int,
+        claim: Claim,
     ) -> None:
-        request = HttpRequest(ask.method, ask.target, ((b"host", self._host),), ask.body)
+        request = HttpRequest(
+            operation.method, operation.target, ((b"host", self._host),), operation.body
+        )
         exchange = await self._pool.send(request, watch)
         try:
-            self._eras.take(era_told(exchange))
+            self._eras.take(era_header(exchange))
             self._eras.check(rises)
             claim()
-            answer.begin(exchange)
-            took_s = max(0.0, watch.took_s - ask.held_s)
+            response.begin(exchange)
+            first_byte_s = max(0.0, watch.took_s - operation.long_poll_s)
             async for chunk in exchange.chunks():
-                self._patience.note_begun(ask.subject, took_s)
-                answer.take(chunk)
-            self._patience.note_begun(ask.subject, took_s)
+                self._patience.note_begun(operation.timeout_key, first_byte_s)
+                response.feed(chunk)
+            self._patience.note_begun(operation.timeout_key, first_byte_s)
         finally:
             exchange.abandon()
 
-    def _check(self, ask: _Ask, answer: StoreAnswer) -> None:
-        """Raise what an answer that is not good says, if it can say that of the call."""
-        if answer.status == OK:
+    def _raise_for_status(self, operation: _Operation, response: StoreResponse) -> None:
+        """Raise the error that an unsuccessful response stands for, as this operation knows it."""
+        if response.status == OK:
             return
-        self._counters.add(f"store_answers_{answer.status}")
-        if answer.status == CONFLICT and ask.is_conditional:
-            raise AppendConflict(_decode(answer.refusal, _Appended).end_offset)
-        if answer.status == EXPIRED and ask.call == READ:
-            raise RecordsExpired(_decode(answer.refusal, _Expired).first)
-        raise LogUnavailable(f"the store answered {answer.status}")
+        self._counters.add(f"store_answers_{response.status}")
+        if response.status == PRECONDITION_FAILED and operation.is_conditional:
+            raise AppendConflict(_decode(response.refusal, _Appended).end_offset)
+        if response.status == GONE and operation.path == READ_PATH:
+            raise RecordsExpired(_decode(response.refusal, _Expired).first)
+        raise LogUnavailable(f"the store responded with status {response.status}")
 
 
 def _decode(body: bytes, kind: type) -> msgspec.Struct:
     try:
         return msgspec.json.decode(body, type=kind)
     except (msgspec.DecodeError, RecursionError) as err:
-        raise LogUnavailable(f"the store's answer is unreadable: {err}") from err
+        raise LogUnavailable(f"the store's response can't be decoded: {err}") from err
 
 
-def _record_of(item: msgspec.Raw | bytes) -> KeyedRecord | None:
-    """Return one of the newest records, None for one that can't be read."""
+def _decode_item(item: msgspec.Raw | bytes) -> KeyedRecord | None:
+    """Return one of the newest records, None if it is malformed."""
     try:
-        read = msgspec.json.decode(item, type=_Item)
-        return KeyedRecord(read.key, b64decode(read.value, validate=True), read.offset)
+        decoded = msgspec.json.decode(item, type=_Item)
+        return KeyedRecord(decoded.key, b64decode(decoded.value, validate=True), decoded.offset)
     except ValueError:
         return None
 
 
-def _record_bytes(key: str, value: bytes) -> bytes:
-    """Return a record: its length, the key's length and the key, then the value."""
-    name = key.encode()
-    content = bytes([len(name)]) + name + value
+def _encode_record(key: str, value: bytes) -> bytes:
+    """Return a record in binary form: its length, the key's length and the key, then the value."""
+    key_bytes = key.encode()
+    content = bytes([len(key_bytes)]) + key_bytes + value
     return len(content).to_bytes(LENGTH_BYTES, "big") + content
--- /dev/null
+++ b/railtide/platform/store_responses.py
@@ -0,0 +1,127 @@
+"""Responses of the platform's store, read as they arrive."""
+
+from abc import ABC, abstractmethod
+
+from railtide.http.client import Exchange
+from railtide.http.messages import first_header
+from railtide.journal.transfer import Transfer
+from railtide.platform.page import PageReader
+
+__all__ = [
+    "OK",
+    "BufferedResponse",
+    "FirstRecordReceived",
+    "PageResponse",
+    "StoreResponse",
+    "era_header",
+]
+
+OK = 200
+ERA_HEADER = b"store-era"
+
+
+def era_header(exchange: Exchange) -> str | None:
+    """Return the value of a response's era header, None if it has none."""
+    value = first_header(exchange.headers, ERA_HEADER)
+    return None if value is None else value.decode("latin-1")
+
+
+class FirstRecordReceived(Exception):
+    """Raised after the first complete record of a response of which only that is wanted."""
+
+
+class StoreResponse(ABC):
+    """Consumes one response of the store.
+
+    Parameters
+    ----------
+    transfer : Transfer or None
+        Notified of the progress of a successful response.
+
+    Attributes
+    ----------
+    status : int
+    refusal : bytearray
+        Body of an unsuccessful response.
+    """
+
+    def __init__(self, transfer: Transfer | None) -> None:
+        self.status = 0
+        self.refusal = bytearray()
+        self._transfer = transfer or Transfer()
+        self._content_length: int | None = None
+        self._is_transfer_begun = False
+        self._bytes_before_begin = 0
+
+    def begin(self, exchange: Exchange) -> None:
+        """Read the status and the content length."""
+        self.status = exchange.status
+        length = first_header(exchange.headers, b"content-length") or b""
+        self._content_length = int(length) if length.isdigit() else None
+
+    def feed(self, chunk: bytes) -> None:
+        """Consume the next bytes of the body."""
+        if self.status != OK:
+            self.refusal += chunk
+            return
+        self._feed(chunk)
+        if not self._is_transfer_begun and self._is_end_known():
+            self._is_transfer_begun = True
+            self._transfer.begin(
+                self._end(), self._content_length, came=self._bytes_before_begin + len(chunk)
+            )
+        elif self._is_transfer_begun:
+            self._transfer.move(len(chunk))
+        else:
+            self._bytes_before_begin += len(chunk)
+
+    @abstractmethod
+    def _feed(self, chunk: bytes) -> None:
+        """Consume bytes of a successful response."""
+
+    def _is_end_known(self) -> bool:
+        return True
+
+    def _end(self) -> int | None:
+        """Return the partition's end offset, None if only the complete body holds it."""
+        return None
+
+
+class BufferedResponse(StoreResponse):
+    """A response that is decoded once its body is complete.
+
+    Attributes
+    ----------
+    body : bytearray
+    """
+
+    def __init__(self, transfer: Transfer | None = None) -> None:
+        super().__init__(transfer)
+        self.body = bytearray()
+
+    def _feed(self, chunk: bytes) -> None:
+        self.body += chunk
+
+
+class PageResponse(StoreResponse):
+    """A page of records that are decoded as they arrive.
+
+    Attributes
+    ----------
+    reader : PageReader
+    """
+
+    def __init__(self, start: int, transfer: Transfer | None = None) -> None:
+        super().__init__(transfer)
+        self.reader = PageReader(start)
+
+    def _feed(self, chunk: bytes) -> None:
+        self.reader.feed(chunk)
+        if self._transfer.first_only and self.reader.has_records:
+            raise FirstRecordReceived
+
+    def _is_end_known(self) -> bool:
+        return self.reader.end is not None
+
+    def _end(self) -> int | None:
+        return self.reader.end
--- a/railtide/platform/tests/test_begun_again.py
+++ b/railtide/platform/tests/test_begun_again.py
@@ -10,7 +10,7 @@
 from railtide.http.sockets import listen
 from railtide.journal.feed import Feed, FeedOptions
 from railtide.journal.keyed import KeyedRecord
-from railtide.platform.store import STALL_S, PlatformStore
+from railtide.platform.store import STALL_TIMEOUT_S, PlatformStore
 from railtide.platform.tests.hosts import HOST
 from railtide.standins.keyed_store import MemoryStore
 from railtide.standins.narrow_link import NarrowLink
@@ -39,7 +39,7 @@
             calls.append(request.target)
             body = b'{"items": [], "has_more": false, "end_offset": 0}'
             await responder.start(200, ((b"content-type", b"application/json"),), None)
-            await trio.sleep(1.4 * STALL_S)
+            await trio.sleep(1.4 * STALL_TIMEOUT_S)
             await responder.write(body)
             await responder.finish()
 
--- a/railtide/platform/tests/test_long_newest.py
+++ b/railtide/platform/tests/test_long_newest.py
@@ -42,7 +42,7 @@
 class TestLongNewest:
     async def test_pages_that_came_are_kept_however_long_the_read_takes(self, monkeypatch) -> None:
         """A topic that is read for longer, over a link that breaks now and then, never comes."""
-        monkeypatch.setattr(module, "RESUME_S", KEPT_S)
+        monkeypatch.setattr(module, "RESUME_TTL_S", KEPT_S)
         listener = await listen(HOST, 0)
         topic = LongTopic()
         async with trio.open_nursery() as nursery:
--- a/railtide/platform/tests/test_lost_answers.py
+++ b/railtide/platform/tests/test_lost_answers.py
@@ -9,7 +9,7 @@
 from railtide.http.server import ConnectionLimits, HttpServer, Responder
 from railtide.http.sockets import listen
 from railtide.journal.errors import LogUnavailable
-from railtide.platform.store import HEAD_S, PlatformStore
+from railtide.platform.store import FIRST_BYTE_TIMEOUT_S, PlatformStore
 from railtide.platform.tests.hosts import HOST
 from railtide.telemetry.counters import Counters
 
@@ -63,7 +63,7 @@
             async with trio.open_nursery() as nursery:
                 for partition in range(5):
                     nursery.start_soon(seconds_to_notice, client, LEDGERS, partition)
-            assert await seconds_to_notice(client, LEDGERS) < 2 * HEAD_S + SLACK_S
+            assert await seconds_to_notice(client, LEDGERS) < 2 * FIRST_BYTE_TIMEOUT_S + SLACK_S
 
 
 class TestLostAppends:
@@ -77,7 +77,7 @@
                 began = trio.current_time()
                 with suppress(LogUnavailable), trio.move_on_after(9.5):
                     await client.append(LEDGERS, {"a": b"1"}, 0)
-                assert trio.current_time() - began < HEAD_S + SLACK_S
+                assert trio.current_time() - began < FIRST_BYTE_TIMEOUT_S + SLACK_S
             nursery.cancel_scope.cancel()
 
 
@@ -93,4 +93,6 @@
             nursery.start_soon(ask_often, client)
             seconds = [await seconds_to_notice(client, "keyed.op") for _ in range(4)]
             nursery.cancel_scope.cancel()
-        assert max(seconds) < 2 * HEAD_S + SLACK_S, [round(each, 2) for each in seconds]
+        assert max(seconds) < 2 * FIRST_BYTE_TIMEOUT_S + SLACK_S, [
+            round(each, 2) for each in seconds
+        ]
--- a/railtide/platform/tests/test_page.py
+++ b/railtide/platform/tests/test_page.py
@@ -25,8 +25,8 @@
         reader = PageReader(start)
         places = [0, *sorted(min(cut, len(data)) for cut in cuts), len(data)]
         for begin, end in zip(places, places[1:], strict=False):
-            reader.take(data[begin:end])
-        assert reader.is_whole
+            reader.feed(data[begin:end])
+        assert reader.is_complete
         assert reader.page() == page_of(data, start)
         assert [record.value for record in reader.page().records] == values
 
@@ -36,21 +36,21 @@
     ) -> None:
         data = page(values, len(values))[: 16 + length]
         reader = PageReader(0)
-        reader.take(data)
+        reader.feed(data)
         got = reader.page()
         whole = [len(page(values[: n + 1], 0)) <= len(data) for n in range(len(values))]
         assert [record.value for record in got.records] == values[: sum(whole)]
         assert got.next_offset == sum(whole)
-        assert reader.is_whole == (len(page(values[: sum(whole)], 0)) == len(data))
+        assert reader.is_complete == (len(page(values[: sum(whole)], 0)) == len(data))
 
     def test_the_end_is_known_before_the_first_record_is_whole(self) -> None:
         reader = PageReader(3)
-        reader.take(page([bytes(1000)], 7)[:20])
+        reader.feed(page([bytes(1000)], 7)[:20])
         assert reader.end == 7
         assert not reader.has_records
 
     def test_a_page_without_its_head_is_none(self) -> None:
         reader = PageReader(0)
-        reader.take(bytes(15))
+        reader.feed(bytes(15))
         with pytest.raises(LogUnavailable):
             reader.page()
--- a/railtide/platform/tests/test_items.py
+++ b/railtide/platform/tests/test_partial_json.py
@@ -1,10 +1,10 @@
-"""Tests of railtide.platform.items."""
+"""Tests of railtide.platform.partial_json."""
 
 import msgspec
 from hypothesis import given
 from hypothesis import strategies as st
 
-from railtide.platform.items import whole_items
+from railtide.platform.partial_json import complete_items
 
 ITEM = st.fixed_dictionaries(
     {
@@ -24,11 +24,11 @@
         rest = {"has_more": True, "end_offset": 7}
         page = {"items": items} | rest if items_first else rest | {"items": items}
         body = msgspec.json.encode(page)
-        found = [msgspec.json.decode(item) for item in whole_items(body[:cut])]
+        found = [msgspec.json.decode(item) for item in complete_items(body[:cut])]
         assert found == items[: len(found)]
         if cut >= len(body):
             assert found == items
 
     def test_of_what_is_no_page_there_are_none(self) -> None:
         for body in (b"", b'{"items": 3, "list": [{}]}', b"[{}]", b'{"items"', b"\xff\xfe"):
-            assert whole_items(body) == []
+            assert complete_items(body) == []
--- a/railtide/platform/tests/test_standstill.py
+++ b/railtide/platform/tests/test_standstill.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from railtide.platform.store import STALL_S, PlatformStore
+from railtide.platform.store import STALL_TIMEOUT_S, PlatformStore
 from railtide.telemetry.counters import Counters
 
 VALUE = bytes(300_000)
@@ -32,7 +32,7 @@
 
             async def stand_still() -> None:
                 await trio.sleep(0.15)
-                time.sleep(STALL_S + 0.5)  # noqa: ASYNC251 - the process stands still
+                time.sleep(STALL_TIMEOUT_S + 0.5)  # noqa: ASYNC251 - the process stands still
 
             nursery.start_soon(stand_still)
             page = await store.read("keyed.t", 0, 0.0)
--- a/railtide/platform/tests/test_store.py
+++ b/railtide/platform/tests/test_store.py
@@ -179,7 +179,7 @@
         assert asked == ["", "a", "a", "a", "", "a"]
 
     async def test_pages_of_long_ago_are_not_gone_on_with(self, monkeypatch) -> None:
-        monkeypatch.setattr("railtide.platform.store.RESUME_S", -1.0)
+        monkeypatch.setattr("railtide.platform.store.RESUME_TTL_S", -1.0)
         asked: list[str] = []
 
         async def refuse_second(request: HttpRequest, responder: Responder) -> None:
--- a/railtide/platform/upstreams.py
+++ b/railtide/platform/upstreams.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's engines: heads and codes translated, nothing decided."""
+"""Client of the platform's engines: translates headers and status codes, and decides nothing."""
 
 import re
 from collections.abc import AsyncIterator, Callable
@@ -10,7 +10,7 @@
 from railtide.http.errors import ConnectFailed, ConnectRefused, HttpError
 from railtide.http.messages import Headers, HttpRequest, first_header, without_hop_by_hop
 from railtide.membership.instances import Instance
-from railtide.platform import names
+from railtide.platform import header_names
 from railtide.platform.notices import notice_of
 from railtide.upstreams.client import PastRun, UpstreamAnswer, UpstreamCall, UpstreamClient
 from railtide.upstreams.errors import (
@@ -27,11 +27,11 @@
 __all__ = ["PlatformUpstreams"]
 
 MISDIRECTED = 421
-OK_CLASS = 2
-HIGHEST_RANK = 9
-PROBE_LASTS_S = 0.02
-"""How long a connection must stay for its engine to live: a process closes what it had open within
-milliseconds of its end."""
+SUCCESS_CLASS = 2
+MAX_RANK = 9
+PROBE_OPEN_S = 0.02
+"""How long a probe's connection must stay open to prove that the engine is alive. The sockets of a
+process that ends are closed within milliseconds."""
 
 
 class _Answer(UpstreamAnswer):
@@ -41,7 +41,7 @@
         self.framed = exchange.framed
         self.headers = without_hop_by_hop(exchange.headers)
         self.content_type = ""
-        self.request_id = (first_header(exchange.headers, names.ATTEMPT_ID) or b"").decode()
+        self.request_id = (first_header(exchange.headers, header_names.ATTEMPT_ID) or b"").decode()
 
     async def chunks(self) -> AsyncIterator[bytes]:
         try:
@@ -51,24 +51,27 @@
             raise UpstreamBroken(err.detail) from err
 
     def holds_another(self, body: bytes) -> bool:
-        """Tell it by a response's head with this request's id; see `UpstreamAnswer`."""
+        """Look for the headers of a response with this request's id; see `UpstreamAnswer`."""
         if self.framed or not self.request_id:
             return False
-        told_by = rb"^%s:[ \t]*%s\r$" % (names.ATTEMPT_ID, re.escape(self.request_id.encode()))
-        heads = (part.partition(b"\r\n\r\n")[0] for part in body.split(b"HTTP/1.1 ")[1:])
-        return any(re.search(told_by, head + b"\r", re.I | re.M) for head in heads)
+        id_header = rb"^%s:[ \t]*%s\r$" % (
+            header_names.ATTEMPT_ID,
+            re.escape(self.request_id.encode()),
+        )
+        headers = (part.partition(b"\r\n\r\n")[0] for part in body.split(b"HTTP/1.1 ")[1:])
+        return any(re.search(id_header, lines + b"\r", re.I | re.M) for lines in headers)
 
     async def aclose(self) -> None:
         self._exchange.abandon()
 
 
 class PlatformUpstreams(UpstreamClient):
-    """The platform's engines.
+    """Client of the platform's engines.
 
-    Parameters
+    Attributes
     ----------
     on_notice : callable
-        Told what each answer of an engine says of that engine.
+        Called with what each response of an engine reports about that engine.
     """
 
     def __init__(self) -> None:
@@ -76,7 +79,7 @@
         self._pool_by_incarnation: dict[str, PeerPool] = {}
 
     async def open(self, upstream: Instance, call: UpstreamCall) -> UpstreamAnswer:
-        """Send a call; see `UpstreamClient.open`."""
+        """Send a request; see `UpstreamClient.open`."""
         request = HttpRequest(
             call.method.encode(), call.path.encode(), _headers(upstream, call), call.body
         )
@@ -90,37 +93,37 @@
         except HttpError as err:
             raise UpstreamBroken(err.detail) from err
         try:
-            self._check(upstream, call, exchange, sent_at)
+            self._check_headers(upstream, call, exchange, sent_at)
         except BaseException:
-            await self._read_refusal(exchange)
+            await self._drain_body(exchange)
             raise
         return _Answer(exchange)
 
-    def _check(
+    def _check_headers(
         self, upstream: Instance, call: UpstreamCall, exchange: Exchange, sent_at: float
     ) -> None:
-        echoed = first_header(exchange.headers, names.ATTEMPT_ID)
+        echoed = first_header(exchange.headers, header_names.ATTEMPT_ID)
         if echoed is not None and echoed.decode() != call.request_id:
-            raise AnswerMismatch("the answer carries another request's id")
+            raise AnswerMismatch("the response carries the id of another request")
         if exchange.status == MISDIRECTED:
-            raise UpstreamMoved("another instance has the address")
+            raise UpstreamMoved("another engine has this address")
         self.on_notice(upstream, notice_of(exchange.status, exchange.headers, sent_at))
-        if first_header(exchange.headers, names.NOT_RUN) is not None:
+        if first_header(exchange.headers, header_names.NOT_RUN) is not None:
             raise UpstreamRefused(f"the upstream refused with {exchange.status}")
-        sealed = first_header(exchange.headers, names.SEAL) is not None
-        if exchange.status // 100 == OK_CLASS and not sealed:
-            raise AnswerMismatch("the answer is not signed")
+        is_signed = first_header(exchange.headers, header_names.SEAL) is not None
+        if exchange.status // 100 == SUCCESS_CLASS and not is_signed:
+            raise AnswerMismatch("the response is not signed")
 
     @staticmethod
-    async def _read_refusal(exchange: Exchange) -> None:
-        """Read the rest of a refusal if it is there, so that its connection can be kept."""
+    async def _drain_body(exchange: Exchange) -> None:
+        """Read the body as far as it has been received, so that the connection can be reused."""
         with trio.move_on_after(0) as scope:
             scope.shield = True
             try:
                 async for _ in exchange.chunks():
                     pass
             except HttpError:
-                pass  # the connection is dropped, and the refusal stands
+                pass  # the connection is closed; the caller raises the refusal
         exchange.abandon()
 
     def forget(self, upstream: Instance) -> None:
@@ -130,15 +133,16 @@
             pool.close()
 
     async def probe(self, upstream: Instance) -> ProbeResult:
-        """Return whether anything listens at an engine's address; nothing is sent there.
+        """Return whether a process listens at an engine's address, without sending anything.
 
-        A process that ends may close its connections before it stops to listen, and an engine that
-        has too many connections resets a new one. So one that does not last is made once more.
+        A connection that is closed at once is made a second time, since it has two causes: a
+        process that ends may close its connections before its listening socket, and an engine with
+        too many connections resets new ones.
         """
         host, _, port = upstream.address.rpartition(":")
         try:
-            if not await _lasts(await connect_tcp_stream(host, int(port))):
-                await _lasts(await connect_tcp_stream(host, int(port)))
+            if not await _stays_open(await connect_tcp_stream(host, int(port))):
+                await _stays_open(await connect_tcp_stream(host, int(port)))
         except ConnectRefused:
             return ProbeResult.REFUSED
         except ConnectFailed:
@@ -146,16 +150,16 @@
         return ProbeResult.CONNECTED
 
     async def past_run(self, upstream: Instance, request_id: str) -> PastRun:
-        """Raise: these engines keep no outcomes."""
-        raise UpstreamLost("these upstreams keep no outcomes")
+        """Raise `UpstreamLost`: the engines keep no outcomes of requests."""
+        raise UpstreamLost("the platform's engines keep no outcomes of requests")
 
     async def cancel(self, upstream: Instance, request_id: str) -> PastRun:
-        """Raise: these engines stop with their connection."""
-        raise UpstreamLost("these upstreams keep no outcomes")
+        """Raise `UpstreamLost`: closing the connection already cancels a request."""
+        raise UpstreamLost("the platform's engines keep no outcomes of requests")
 
     async def load(self, upstream: Instance) -> LoadReport:
-        """Raise: loads come with the answers."""
-        raise UpstreamLost("loads come with the answers")
+        """Raise `UpstreamLost`: the engines report their load in each response."""
+        raise UpstreamLost("the platform's engines report their load only in responses")
 
     def _pool(self, upstream: Instance) -> PeerPool:
         pool = self._pool_by_incarnation.get(upstream.incarnation)
@@ -166,24 +170,24 @@
         return pool
 
 
-async def _lasts(stream: trio.SocketStream) -> bool:
-    """Return whether a connection is still there a moment after it was made, and close it."""
-    with trio.move_on_after(PROBE_LASTS_S) as scope:
+async def _stays_open(stream: trio.SocketStream) -> bool:
+    """Return whether the peer leaves a new connection open for `PROBE_OPEN_S`, and close it."""
+    with trio.move_on_after(PROBE_OPEN_S) as scope:
         try:
             await stream.receive_some(1)
         except trio.BrokenResourceError:
-            pass  # reset, which the return value tells
+            pass  # reset by the peer
     stream.socket.close()
     return scope.cancelled_caught
 
 
 def _headers(upstream: Instance, call: UpstreamCall) -> Headers:
     own = [
-        (names.DEADLINE_MS, str(max(1, int(call.timeout_s * 1000))).encode()),
-        (names.EXPECTED_UPSTREAM, upstream.name.encode()),
-        (names.RANK, str(min(call.rank, HIGHEST_RANK)).encode()),
+        (header_names.DEADLINE_MS, str(max(1, int(call.timeout_s * 1000))).encode()),
+        (header_names.EXPECTED_UPSTREAM, upstream.name.encode()),
+        (header_names.RANK, str(min(call.rank, MAX_RANK)).encode()),
     ]
     if call.resume_after:
-        own.append((names.LAST_EVENT_ID, call.resume_after.encode()))
+        own.append((header_names.LAST_EVENT_ID, call.resume_after.encode()))
     replaced = {name for name, _ in own}
     return (*(h for h in call.headers if h[0] not in replaced), *own)
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -294,7 +294,7 @@
     Mutant(
         "signature-not-checked",
         "platform/upstreams.py",
-        "if exchange.status // 100 == OK_CLASS and not sealed:",
+        "if exchange.status // 100 == SUCCESS_CLASS and not is_signed:",
         "if False:",
         (PLATFORM,),
     ),
@@ -372,8 +372,8 @@
     Mutant(
         "unreadable-record-read-for-ever",
         "platform/page.py",
-        "return KeyedPage(self._records, self.end, self._offset, unreadable)",
-        "return KeyedPage(self._records, self.end, self._offset - unreadable, unreadable)",
+        "return KeyedPage(self._records, self.end, self._next_offset, unreadable)",
+        "return KeyedPage(self._records, self.end, self._next_offset - unreadable, unreadable)",
         (PLATFORM,),
     ),
     Mutant(
@@ -869,9 +869,9 @@
     Mutant(
         "connection-that-does-not-last-shows-life",
         "platform/upstreams.py",
-        "            if not await _lasts(await connect_tcp_stream(host, int(port))):\n"
-        "                await _lasts(await connect_tcp_stream(host, int(port)))\n",
-        "            await _lasts(await connect_tcp_stream(host, int(port)))\n",
+        "            if not await _stays_open(await connect_tcp_stream(host, int(port))):\n"
+        "                await _stays_open(await connect_tcp_stream(host, int(port)))\n",
+        "            await _stays_open(await connect_tcp_stream(host, int(port)))\n",
         (f"{CRASHING}::TestProbe",),
     ),
     Mutant(
@@ -1589,7 +1589,7 @@
     Mutant(
         "lost-answer-of-an-append-makes-the-next-wait",
         "platform/store.py",
-        "is_small_append = 0 < len(self.body) <= SMALL_BYTES",
+        "is_small_append = 0 < len(self.body) <= SMALL_APPEND_BYTES",
         "is_small_append = False",
         (f"{PLATFORM}/test_lost_answers.py",),
     ),
@@ -1603,8 +1603,9 @@
     Mutant(
         "older-page-is-told-behind-a-newer-record",
         "platform/store.py",
-        "        self._pages_by_topic.pop((topic, partition), None)  # what is read",
-        "        # what is read",
+        "        self._newest_read_by_partition.pop((topic, partition), None)\n"
+        "        self._report_unreadable(topic, page.unreadable)\n",
+        "        self._report_unreadable(topic, page.unreadable)\n",
         (f"{PLATFORM}/test_kept_pages.py",),
     ),
     Mutant(
@@ -1659,8 +1660,8 @@
     Mutant(
         "call-that-is-silent-loses-its-place",
         "platform/store.py",
-        "await self._stream(ask, answer, MOST_HEAD_S, claim)",
-        "await self._stream(ask, answer, claim=claim)",
+        "await self._stream(operation, response, MAX_FIRST_BYTE_TIMEOUT_S, claim)",
+        "await self._stream(operation, response, claim=claim)",
         (f"{LARGE}::TestLargeState",),
     ),
     Mutant(
@@ -1680,7 +1681,7 @@
     Mutant(
         "silent-store-counts-as-heard-while-a-call-waits",
         "platform/store.py",
-        'transfer.note_silent(err or LogUnavailable(f"{ask.call}: no answer yet"))',
+        'transfer.note_silent(err or LogUnavailable(f"{operation.path}: no response yet"))',
         "pass",
         (f"{NARROW}::TestSilence",),
     ),
@@ -1708,14 +1709,15 @@
     Mutant(
         "part-of-a-page-is-thrown-away",
         "platform/store.py",
-        "            if answer.status == OK and pages.add_part(whole_items(answer.body)):\n",
+        "            if response.status == OK and "
+        "newest_read.add_partial(complete_items(response.body)):\n",
         "            if False:\n",
         (f"{PLATFORM}/test_begun_again.py", KEPT_PAGES),
     ),
     Mutant(
         "part-of-a-page-ends-where-the-rest-says",
         "platform/store.py",
-        "            self.end = 1 + max(record.offset for record in read)\n",
+        "            self.end = 1 + max(record.offset for record in decoded)\n",
         "            pass\n",
         (KEPT_PAGES,),
     ),
@@ -1730,8 +1732,8 @@
         "part-of-a-page-of-a-former-era-is-kept",
         "platform/store.py",
         "        except EraRisen:\n            raise\n        except LogUnavailable:\n"
-        "            if answer",
-        "        except LogUnavailable:\n            if answer",
+        "            if response",
+        "        except LogUnavailable:\n            if response",
         (STORE_ERAS,),
     ),
     Mutant(
@@ -1779,22 +1781,22 @@
     Mutant(
         "part-of-a-record-counts",
         "platform/page.py",
-        "return record_end if len(self._rest) >= record_end else None",
+        "return record_end if len(self._buffer) >= record_end else None",
         "return record_end",
         (f"{PLATFORM}/test_page.py",),
     ),
     Mutant(
         "pages-of-the-newest-are-read-again",
         "platform/store.py",
-        "if known and trio.current_time() - known.came_at <= RESUME_S:",
+        "if kept and trio.current_time() - kept.received_at <= RESUME_TTL_S:",
         "if False:",
         (f"{STORE}::TestProgress",),
     ),
     Mutant(
         "pages-of-long-ago-are-gone-on-with",
         "platform/store.py",
-        "if known and trio.current_time() - known.came_at <= RESUME_S:",
-        "if known:",
+        "if kept and trio.current_time() - kept.received_at <= RESUME_TTL_S:",
+        "if kept:",
         (f"{STORE}::TestProgress",),
     ),
     Mutant(
@@ -1941,8 +1943,8 @@
     Mutant(
         "answer-of-the-next-era-counts",
         "platform/store.py",
-        "            self._eras.take(era_told(exchange))\n            self._eras.check(rises)\n",
-        "            self._eras.take(era_told(exchange))\n",
+        "            self._eras.take(era_header(exchange))\n            self._eras.check(rises)\n",
+        "            self._eras.take(era_header(exchange))\n",
         (STORE_ERAS,),
     ),
     Mutant(
@@ -1956,7 +1958,7 @@
     Mutant(
         "pages-of-a-former-era-are-kept",
         "platform/store.py",
-        "        self._eras.on_rise(self._pages_by_topic.clear)\n",
+        "        self._eras.on_rise(self._newest_read_by_partition.clear)\n",
         "",
         (STORE_ERAS,),
     ),
@@ -2408,12 +2410,12 @@
         "notice-of-another-engine-at-the-address",
         "platform/upstreams.py",
         """        if exchange.status == MISDIRECTED:
-            raise UpstreamMoved("another instance has the address")
+            raise UpstreamMoved("another engine has this address")
         self.on_notice(upstream, notice_of(exchange.status, exchange.headers, sent_at))
 """,
         """        self.on_notice(upstream, notice_of(exchange.status, exchange.headers, sent_at))
         if exchange.status == MISDIRECTED:
-            raise UpstreamMoved("another instance has the address")
+            raise UpstreamMoved("another engine has this address")
 """,
         (PLATFORM_LIMITS,),
     ),
@@ -2483,15 +2485,15 @@
     Mutant(
         "leaving-in-an-answer-not-read",
         "platform/notices.py",
-        'return first_header(headers, names.LEAVING) == b"1"',
+        'return first_header(headers, header_names.LEAVING) == b"1"',
         "return False",
         (LEAVING,),
     ),
     Mutant(
         "any-word-of-leaving-taken",
         "platform/notices.py",
-        'return first_header(headers, names.LEAVING) == b"1"',
-        "return first_header(headers, names.LEAVING) is not None",
+        'return first_header(headers, header_names.LEAVING) == b"1"',
+        "return first_header(headers, header_names.LEAVING) is not None",
         (LEAVING,),
     ),
     Mutant(
