--- a/railtide/upstreams/tests/test_limit_shares.py
+++ b/railtide/upstreams/tests/test_limit_shares.py
@@ -117,9 +117,7 @@
         assert sent_per_s < per_s or math.isclose(sent_per_s, per_s)
 
     @given(RATES, st.integers(min_value=1, max_value=39))
-    def test_idle_routers_have_a_share_of_high_limits_only(
-        self, per_s: float, active: int
-    ) -> None:
+    def test_idle_routers_have_a_share_of_high_limits_only(self, per_s: float, active: int) -> None:
         traffic = traffic_of(NAMES[:active])
         interval = LimitShares(NAMES[-1], lambda: traffic).interval_s("e", per_s)
         assert math.isfinite(interval) == (len(traffic.idle) <= 0.2 * per_s)
