--- a/railtide/budgets/tests/test_needs.py
+++ b/railtide/budgets/tests/test_shortfalls.py
@@ -1,4 +1,4 @@
-"""Tests of railtide.budgets.needs: units that lie idle in other hands serve who lacks them.
+"""Tests of railtide.budgets.shortfalls: units that lie idle in other hands serve who lacks them.
 
 Callers were refused while their budget had units left. The account's requests had moved to another
 router near the end of the budget; the router before held units for traffic that no longer came and
@@ -15,34 +15,34 @@
 import pytest
 import trio
 
+from railtide.budgets.allocation_sizing import LedgerOptions
 from railtide.budgets.errors import BudgetError, BudgetUnavailable
-from railtide.budgets.hand_size import LedgerOptions
 from railtide.budgets.ledger import Holding, Ledger, ledger_to_bytes
-from railtide.budgets.ledger_treasury import LedgerTreasury
-from railtide.budgets.needs import (
+from railtide.budgets.ledger_budget_source import LedgerBudgetSource
+from railtide.budgets.shortfalls import (
     RENEW_S,
     SILENT_S,
-    Need,
-    NeedsSeen,
-    OwnNeed,
+    OwnShortfalls,
+    PeerShortfalls,
+    Shortfall,
     first_needs,
     forget_refused,
     note_refused,
     note_seen,
     units_refused,
 )
-from railtide.budgets.tests.test_ledger_treasury import (
+from railtide.budgets.tests.test_ledger_budget_source import (
     ACCOUNT,
     SETTINGS,
     ledger_of,
-    treasury,
+    make_source,
 )
 from railtide.standins.keyed_store import MemoryStore
 
 OPTIONS = LedgerOptions()
 
 
-async def serve(made: LedgerTreasury, amount: int, times: int, every_s: float) -> None:
+async def serve(made: LedgerBudgetSource, amount: int, times: int, every_s: float) -> None:
     """Spend an amount again and again."""
     for _ in range(times):
         until = trio.current_time() + 1
@@ -59,11 +59,13 @@
 class TestRecall:
     """Of 1,000 units 600 are spent; one router had the traffic and holds most of a half."""
 
-    async def _two_routers(self, nursery: trio.Nursery, store: MemoryStore) -> list[LedgerTreasury]:
+    async def _two_routers(
+        self, nursery: trio.Nursery, store: MemoryStore
+    ) -> list[LedgerBudgetSource]:
         store.put(OPTIONS.topic, ACCOUNT, ledger_to_bytes(Ledger(closed=400, billed=400)))
-        made = [treasury(store, name, routers=2, boot=name) for name in ("i1", "i2")]
+        made = [make_source(store, name, routers=2, boot=name) for name in ("i1", "i2")]
         for each in made:
-            each.spread()
+            each.enable_preallocation()
             nursery.start_soon(each.run)
         await trio.sleep(1)
         await serve(made[0], 10, times=20, every_s=0.2)
@@ -117,7 +119,7 @@
         async with trio.open_nursery() as nursery:
             holder, _ = await self._two_routers(nursery, store)
             held = in_hand(store, "i1")
-            dead = LedgerTreasury(store, "i3", "i3-1", lambda: 2, OPTIONS)
+            dead = LedgerBudgetSource(store, "i3", "i3-1", lambda: 2, OPTIONS)
             dead.set_prepaid({ACCOUNT: 1000})
             with trio.move_on_after(1):
                 async with trio.open_nursery() as life:
@@ -152,7 +154,7 @@
     given_up: int = 0
     served: int = 0
 
-    async def call(self, made: LedgerTreasury, amount: int) -> None:
+    async def call(self, made: LedgerBudgetSource, amount: int) -> None:
         """Be a caller that comes back once after the time that it is told."""
         for attempt in range(2):
             try:
@@ -174,11 +176,11 @@
         """Have ten calls a second, one in four nine times as large; all move after eight."""
         store = MemoryStore()
         store.delay_s = 0.004
-        made = [treasury(store, name, routers=2, boot=name) for name in ("i1", "i2")]
+        made = [make_source(store, name, routers=2, boot=name) for name in ("i1", "i2")]
         async with trio.open_nursery() as nursery:
             for each in made:
                 each.set_prepaid({ACCOUNT: 2_400})
-                each.spread()
+                each.enable_preallocation()
                 nursery.start_soon(each.run)
             await trio.sleep(1)
             for number in range(160):
@@ -191,30 +193,34 @@
 
 class TestNeed:
     def test_counts_as_long_as_it_is_renewed(self) -> None:
-        seen = NeedsSeen()
+        seen = PeerShortfalls()
         for number in range(4):
-            note_seen(seen, {"i2-1": Need(50, count=number)}, now=number * RENEW_S)
+            note_seen(seen, {"i2-1": Shortfall(50, count=number)}, now=number * RENEW_S)
         assert first_needs(seen, 3 * RENEW_S + SILENT_S) == 50
-        note_seen(seen, {"i2-1": Need(50, count=3)}, now=3 * RENEW_S + SILENT_S)
+        note_seen(seen, {"i2-1": Shortfall(50, count=3)}, now=3 * RENEW_S + SILENT_S)
         assert first_needs(seen, 3 * RENEW_S + SILENT_S + 0.1) == 0
 
     def test_is_gone_once_it_is_read_no_more(self) -> None:
-        seen = NeedsSeen()
-        note_seen(seen, {"i2-1": Need(50, count=1)}, now=0.0)
+        seen = PeerShortfalls()
+        note_seen(seen, {"i2-1": Shortfall(50, count=1)}, now=0.0)
         note_seen(seen, {}, now=0.1)
         assert first_needs(seen, now=0.1) == 0
 
     def test_of_two_that_lack_one_gives_way(self) -> None:
-        lacks = {"i1-1": Need(50, count=1), "i2-1": Need(50, count=1), "i3-1": Need(40, count=1)}
+        lacks = {
+            "i1-1": Shortfall(50, count=1),
+            "i2-1": Shortfall(50, count=1),
+            "i3-1": Shortfall(40, count=1),
+        }
         given = {}
         for reader, own in lacks.items():
-            seen = NeedsSeen()
+            seen = PeerShortfalls()
             note_seen(seen, {other: need for other, need in lacks.items() if other != reader}, 0.0)
             given[reader] = first_needs(seen, 0.0, own=(own.units, reader))
         assert given == {"i1-1": 40, "i2-1": 90, "i3-1": 0}
 
     def test_caller_that_comes_back_is_counted_once(self) -> None:
-        own = OwnNeed()
+        own = OwnShortfalls()
         for now in (0.0, 0.6):
             note_refused(own, 30, until=now + 1.0)
         note_refused(own, 40, until=1.6)
@@ -231,10 +237,10 @@
         """Of 1,000 units 220 are left, half of them in two hands; callers of both ask for 180."""
         store = MemoryStore()
         store.put(OPTIONS.topic, ACCOUNT, ledger_to_bytes(Ledger(closed=500, billed=500)))
-        made = [treasury(store, name, routers=2, boot=name) for name in ("i1", "i2")]
+        made = [make_source(store, name, routers=2, boot=name) for name in ("i1", "i2")]
         served = []
 
-        async def call(router: LedgerTreasury) -> None:
+        async def call(router: LedgerBudgetSource) -> None:
             for _ in range(2):
                 try:
                     await router.reserve(ACCOUNT, SETTINGS, 180, trio.current_time() + 9)
@@ -246,7 +252,7 @@
 
         async with trio.open_nursery() as nursery:
             for each in made:
-                each.spread()
+                each.enable_preallocation()
                 nursery.start_soon(each.run)
             async with trio.open_nursery() as small:
                 for each in made:
@@ -261,11 +267,11 @@
     async def test_refill_leaves_what_refused_callers_come_back_for(self, autojump_clock) -> None:
         """A router with traffic would fill its hand from what was returned for another's caller."""
         store = MemoryStore()
-        need = Need(300, count=1)
+        need = Shortfall(300, count=1)
         lacking = Holding("i2-1", granted=1, need=need)
         store.put(OPTIONS.topic, ACCOUNT, ledger_to_bytes(Ledger(700, 700, {"i2": lacking})))
-        made = treasury(store, "i1", routers=2)
-        made.spread()
+        made = make_source(store, "i1", routers=2)
+        made.enable_preallocation()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(made.run)
             await trio.sleep(SILENT_S - 0.5)
--- a/railtide/lanes/admission.py
+++ b/railtide/lanes/admission.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from enum import StrEnum
 
-from railtide.membership.entrance_set import Visits
+from railtide.membership.router_selection import RouterTraffic
 from railtide.upstreams.limit_shares import PROBE_AFTER_S, LimitShares
 from railtide.upstreams.slow_start import SlowStart
 from railtide.upstreams.upstream_state import Upstream, is_cold, is_leaving
@@ -43,7 +43,7 @@
         self._drained: frozenset[str] = frozenset()
         self._slow_start = SlowStart()
         self._cold_interval_s: ColdInterval = _unshared_interval_s
-        self._limit_shares = LimitShares(STANDALONE, lambda: Visits((STANDALONE,)))
+        self._limit_shares = LimitShares(STANDALONE, lambda: RouterTraffic((STANDALONE,)))
 
     def set_slow_start(self, slow_start: SlowStart, cold_interval_s: ColdInterval) -> None:
         """Set the rate that cold upstreams can serve, and this router's share of it."""
--- a/railtide/membership/tests/test_newest_for_backlog.py
+++ b/railtide/membership/tests/test_newest_for_backlog.py
@@ -39,7 +39,7 @@
         number += 1
         for router in range(ROUTERS):
             beat(store, f"edge-delta-a-{router}", number)
-        await trio.sleep(ROSTER.beat_s)
+        await trio.sleep(ROSTER.heartbeat_interval_s)
 
 
 class TestDeadRouters:
@@ -58,14 +58,14 @@
             nursery.start_soon(beat_for_ever, store)
             nursery.start_soon(roster.run, lambda: True)
             await trio.sleep(30.0)
-            assert "died" not in {entrance.name for entrance in roster.live()}
+            assert "died" not in {endpoint.name for endpoint in roster.live()}
             way.down = True
             await trio.sleep(cut_s)
             way.down = False
             back = trio.current_time()
             while trio.current_time() - back < 15.0:
                 await trio.sleep(0.1)
-                if "died" in {entrance.name for entrance in roster.live()}:
+                if "died" in {endpoint.name for endpoint in roster.live()}:
                     seen_alive.append(round(trio.current_time() - back, 1))
             nursery.cancel_scope.cancel()
         assert not seen_alive, (seen_alive[0], seen_alive[-1])
@@ -83,7 +83,7 @@
             FeedOptions(pause_s=0.3),
             Random(1),
             self._take,
-            self.listed.keep_only,
+            self.listed.retain,
         )
 
     def _changed(self, pool: str, instances: list[Instance]) -> None:
@@ -97,24 +97,24 @@
             name = record.key
             state = InstanceState(record.value.split(b" ")[0].decode())
             self.listed.put(Instance(name, name, f"{name}:1", "z", "engine", "p", state=state))
-        self.listed.settle()
+        self.listed.apply_pending()
 
     def _lapse_until(self) -> float:
         """As in `EdgeNode._lapse_until`."""
         feed = self.feed
-        if not feed.caught_up or feed.back_at < feed.lost_at:
+        if not feed.caught_up or feed.restored_at < feed.lost_at:
             return trio.current_time() + RETURN_GRACE_S
-        lost_lately = trio.current_time() - feed.back_at <= RECENT_LOSS_S
+        lost_lately = trio.current_time() - feed.restored_at <= RECENT_LOSS_S
         if feed.lost_at == -float("inf") or not lost_lately:
             return trio.current_time()
-        return feed.back_at + RETURN_GRACE_S
+        return feed.restored_at + RETURN_GRACE_S
 
     async def run(self) -> None:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.feed.run)
             while True:
                 await trio.sleep(0.1)
-                self.listed.settle()
+                self.listed.apply_pending()
 
 
 def say(store: MemoryStore, name: str, state: InstanceState) -> None:
--- a/railtide/platform/tests/test_outdated_view.py
+++ b/railtide/platform/tests/test_outdated_view.py
@@ -13,11 +13,11 @@
 
 from railtide.clocks import Suspensions
 from railtide.edge import freshness
-from railtide.edge.waking import REREAD_S
+from railtide.edge.wake_handler import MAX_REREAD_WAIT_S
 from railtide.http.client import Exchange
 from railtide.http.messages import first_header
 from railtide.journal.keyed import KeyedPage
-from railtide.journal.transfer import Transfer
+from railtide.journal.read_progress import ReadProgress
 from railtide.platform.tests.test_large_desired_state import (
     LINK_BYTES_PER_S,
     NEW,
@@ -61,10 +61,10 @@
         start: int,
         wait_s: float,
         partition: int = 0,
-        transfer: Transfer | None = None,
+        progress: ReadProgress | None = None,
     ) -> KeyedPage:
         """Return records, none of the configuration while they are kept back."""
-        page = await super().read(topic, start, wait_s, partition, transfer)
+        page = await super().read(topic, start, wait_s, partition, progress)
         if topic == CONFIGURATION and self.keeps_back and page.records:
             await trio.sleep(KEPT_BACK_TICK_S)
             return KeyedPage([], page.end, start)
@@ -109,7 +109,7 @@
 
 
 def named_by(w: World) -> set[str]:
-    return {entrance.name for entrance in w.node.addresses("z")}
+    return {endpoint.name for endpoint in w.node.addresses("z")}
 
 
 def events(lines: list[dict[str, object]], name: str) -> list[dict[str, object]]:
@@ -129,7 +129,7 @@
     async def test_is_current_through_a_wait_without_news(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        monkeypatch.setattr(freshness, "SLOW_ANSWER_S", 1.0)  # a busy machine answers late
+        monkeypatch.setattr(freshness, "READ_OVERDUE_S", 1.0)  # a busy machine answers late
         async with world() as w:
             for _ in range(45):
                 await trio.sleep(0.1)
@@ -185,7 +185,7 @@
     async def test_silent_one_is_suspected_as_soon_as_an_answer_is_due(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        monkeypatch.setattr(freshness, "SLOW_ANSWER_S", 0.1)
+        monkeypatch.setattr(freshness, "READ_OVERDUE_S", 0.1)
         async with world() as w:
             await w.add_engine("e")
             w.store.delay_s = 60.0
@@ -212,7 +212,7 @@
     async def test_it_shows_in_readiness_and_lines_once_it_takes_too_long(
         self, monkeypatch: pytest.MonkeyPatch, lines: list[dict[str, object]]
     ) -> None:
-        monkeypatch.setattr(freshness, "BEHIND_S", 0.4)
+        monkeypatch.setattr(freshness, "MAX_BEHIND_S", 0.4)
         async with world(store=ReluctantStore()) as w:
             await keep_back(w, with_new_route())
             assert w.node.ready
@@ -232,20 +232,20 @@
     async def test_it_shows_in_the_roster_and_the_router_is_still_named(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        monkeypatch.setattr(freshness, "BEHIND_S", 0.4)
+        monkeypatch.setattr(freshness, "MAX_BEHIND_S", 0.4)
         async with world(store=ReluctantStore()) as w:
             await until(lambda: w.node.addresses("z"))
             await keep_back(w, with_new_route())
-            await until(lambda: w.node.roster.is_announced_behind())
+            await until(lambda: w.node.roster.is_announced_outdated())
             await trio.sleep(w.node.options.roster.dead_after_s + 1)
-            assert [entrance.name for entrance in w.node.addresses("z")] == ["i1"]
+            assert [endpoint.name for endpoint in w.node.addresses("z")] == ["i1"]
             w.store.keeps_back = False
-            await until(lambda: not w.node.roster.is_announced_behind())
+            await until(lambda: not w.node.roster.is_announced_outdated())
 
     async def test_store_that_is_merely_away_makes_no_router_unready(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        monkeypatch.setattr(freshness, "BEHIND_S", 0.2)
+        monkeypatch.setattr(freshness, "MAX_BEHIND_S", 0.2)
         async with world() as w:
             await lose_store(w)
             await trio.sleep(1.0)
@@ -308,14 +308,14 @@
             await until(lambda: events(lines, "configuration-current"))
         (began,) = events(lines, "configuration-behind")
         assert (began["version"], began["reason"]) == (1, "newer-known")
-        assert began["known_s"] >= freshness.BEHIND_S and 0 < began["left_s"] < self.TRANSFER_S
+        assert began["known_s"] >= freshness.MAX_BEHIND_S and 0 < began["left_s"] < self.TRANSFER_S
         (ended,) = events(lines, "configuration-current")
         assert ended["version"] == 2 and self.TRANSFER_S <= ended["for_s"] < 2 * WAIT_S
 
     async def test_callers_are_named_routers_that_have_it_until_all_have(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        monkeypatch.setattr(freshness, "BEHIND_S", 0.5)
+        monkeypatch.setattr(freshness, "MAX_BEHIND_S", 0.5)
         store = MemoryStore()
         link = NarrowLink(LINK_BYTES_PER_S)
         async with AsyncExitStack() as stack:
@@ -330,7 +330,7 @@
             assert narrow.node.snapshot.version == 1
             assert {w.node.snapshot.version for w in wide} == {2}
             assert len(wide[0].node.roster.live()) == 3
-            await until(lambda: not narrow.node.roster.is_announced_behind(), 3 * WAIT_S)
+            await until(lambda: not narrow.node.roster.is_announced_outdated(), 3 * WAIT_S)
             assert narrow.node.snapshot.version == 2
 
     async def test_one_that_breaks_off_is_not_forgotten(self) -> None:
@@ -355,7 +355,7 @@
         async with world(suspensions=machine.suspensions) as w:
             await w.add_engine("e")
             write_unheard(w, CONFIGURATION, "config", with_new_route())
-            w.store.delay_s = 2 * REREAD_S
+            w.store.delay_s = 2 * MAX_REREAD_WAIT_S
             machine.suspended_s = SUSPENDED_S
             await assert_outdated(await w.ask(path))
             await until(w.node.configuration_is_current)
@@ -405,7 +405,7 @@
     async def test_router_that_others_stand_in_for_runs_nothing_by_it(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        monkeypatch.setattr(freshness, "BEHIND_S", 0.5)
+        monkeypatch.setattr(freshness, "MAX_BEHIND_S", 0.5)
         store = MemoryStore()
         link = NarrowLink(LINK_BYTES_PER_S)
         async with AsyncExitStack() as stack:
@@ -426,14 +426,14 @@
             assert len(engine.ran) == ran
             assert (await wide[0].ask("/safe/x")).status == 200
             await until_in_force(narrow, 2)
-            await until(lambda: not narrow.node.roster.is_announced_behind())
+            await until(lambda: not narrow.node.roster.is_announced_outdated())
             assert (await narrow.ask("/safe/x")).status == 200
 
     async def test_routers_that_are_all_behind_serve_by_it(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         """Nobody has the newer one: to refuse would end all service until it has come."""
-        monkeypatch.setattr(freshness, "BEHIND_S", 0.5)
+        monkeypatch.setattr(freshness, "MAX_BEHIND_S", 0.5)
         store = MemoryStore()
         async with AsyncExitStack() as stack:
             routers = [
@@ -446,7 +446,7 @@
                 await router.add_engine(f"e{number}")
             await until(lambda: all(len(r.node.roster.live()) == 3 for r in routers))
             publish(routers[0], 2, self.TRANSFER_S)
-            await until(lambda: all(r.node.roster.is_announced_behind() for r in routers))
+            await until(lambda: all(r.node.roster.is_announced_outdated() for r in routers))
             await trio.sleep(1.5)  # until each has read of the others
             assert [(await r.ask("/safe/x")).status for r in routers] == [200, 200, 200]
             assert [r.node.snapshot.version for r in routers] == [1, 1, 1]
@@ -455,7 +455,7 @@
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         """One current router alone is fewer than callers are sent to."""
-        monkeypatch.setattr(freshness, "BEHIND_S", 0.5)
+        monkeypatch.setattr(freshness, "MAX_BEHIND_S", 0.5)
         store = MemoryStore()
         link = NarrowLink(LINK_BYTES_PER_S)
         async with AsyncExitStack() as stack:
@@ -465,7 +465,7 @@
             await until(lambda: len(narrow.node.roster.live()) == 2)
             publish(narrow, 2, self.TRANSFER_S)
             await until(lambda: wide.node.snapshot.version == 2)
-            await until(lambda: narrow.node.roster.is_announced_behind())
+            await until(lambda: narrow.node.roster.is_announced_outdated())
             await trio.sleep(1.5)  # until it has read its own record
             assert narrow.node.snapshot.version == 1
             assert (await narrow.ask("/safe/x")).status == 200
--- a/railtide/requests/execution.py
+++ b/railtide/requests/execution.py
@@ -7,13 +7,13 @@
 from loguru import logger
 from opentelemetry import trace
 
+from railtide.budgets.log_budget_source import LogReservation
 from railtide.budgets.messages import Waste
-from railtide.budgets.treasury import Reservation
-from railtide.containment.ends import UpstreamRun
+from railtide.containment.crash_detection import UpstreamAttempt
 from railtide.containment.errors import ContentHeld
 from railtide.errors import RailtideError, Run
-from railtide.journal.entries import Code, Verdict
-from railtide.journal.writer import Ticket
+from railtide.journal.entries import Verdict, VerdictCode
+from railtide.journal.writer import Submission
 from railtide.lanes.scheduler import PoolScheduler, Slot, WaitingRequest
 from railtide.membership.instances import Instance
 from railtide.requests.call import AnswerSink, Call
@@ -59,7 +59,7 @@
     Parameters
     ----------
     call : Call
-    reservation : Reservation
+    reservation : LogReservation
     scheduler : PoolScheduler
         Scheduler of the call's pool.
     services : Services
@@ -70,7 +70,7 @@
     def __init__(
         self,
         call: Call,
-        reservation: Reservation,
+        reservation: LogReservation,
         scheduler: PoolScheduler,
         services: Services,
         sink: AnswerSink,
@@ -94,7 +94,7 @@
         )
         self._slot: Slot | None = None
         self._settled = False
-        self._bill: Ticket | None = None
+        self._bill: Submission | None = None
         self._sent_to: Instance | None = None
         self._lost_attempts: list[Instance] = []
         self._sent_at = -math.inf
@@ -136,7 +136,7 @@
         wasted = self._commit.wasted_units(len(self._lost_attempts))
         self._settle(relayed.cost, Outcome.DONE, relayed.answer, wasted)
         if self._bill:
-            self._bill.when_decided(self._on_bill_decided)
+            self._bill.add_done_callback(self._on_bill_decided)
         try:
             await self._commit.wait_before_end(self._bill)
         except HolderFenced as err:
@@ -223,14 +223,16 @@
 
     def _report_answer(self, upstream: Instance, relayed: Relayed) -> None:
         """Report an answer to the content guard; only a framed one is certainly complete."""
-        sound = relayed.framed and relayed.answer.status == OK_STATUS
-        self._services.guard.note_answer(upstream, self._last_attempt(), sound)
+        complete = relayed.framed and relayed.answer.status == OK_STATUS
+        self._services.guard.note_answer(upstream, self._last_attempt(), complete)
 
     def _cancel_scope(self) -> AbstractContextManager[trio.CancelScope]:
-        return self._services.guard.running(self._call.content, lambda: self._relay.head_at)
+        return self._services.guard.cancel_scope_for(
+            self._call.content, lambda: self._relay.head_at
+        )
 
-    def _last_attempt(self) -> UpstreamRun:
-        return UpstreamRun(self._call.content, self._sent_at, self._relay.head_at)
+    def _last_attempt(self) -> UpstreamAttempt:
+        return UpstreamAttempt(self._call.content, self._sent_at, self._relay.head_at)
 
     async def _report_failed_attempt(self, upstream: Upstream, err: UpstreamError) -> None:
         """Report a failed attempt to the content guard, unless its upstream was leaving.
@@ -353,7 +355,7 @@
 
     def _on_bill_decided(self, verdict: Verdict) -> None:
         """Record as waste what ran after another router had settled the request as not run."""
-        if verdict.code != Code.NOT_OPEN or verdict.outcome != Outcome.NOT_RUN:
+        if verdict.code != VerdictCode.NOT_OPEN or verdict.outcome != Outcome.NOT_RUN:
             return
         record = self._bill.record
         writer = self._reservation.epoch.writer
--- a/railtide/requests/ledger_commit.py
+++ b/railtide/requests/ledger_commit.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Callable
 
-from railtide.budgets.source import Reserved
-from railtide.journal.writer import Ticket
+from railtide.budgets.budget_source import BudgetReservation
+from railtide.journal.writer import Submission
 from railtide.requests.call import Call
 from railtide.requests.commit import CommitProtocol
 from railtide.requests.messages import Bill
@@ -46,7 +46,7 @@
     async def wait_before_first_byte(self) -> None:
         """Return at once."""
 
-    async def wait_before_end(self, bill: Ticket | None) -> None:
+    async def wait_before_end(self, bill: Submission | None) -> None:
         """Return at once."""
 
     def wasted_units(self, lost_attempts: int) -> int:
@@ -61,7 +61,7 @@
 def ledger_commit_maker(count_bill: Callable[[str], None]) -> Callable[..., CommitProtocol]:
     """Return a factory of commit protocols that count their bills with `count_bill`."""
 
-    def make(call: Call, reservation: Reserved, services: Services) -> CommitProtocol:
+    def make(call: Call, reservation: BudgetReservation, services: Services) -> CommitProtocol:
         return LedgerCommit(call, count_bill)
 
     return make
--- a/railtide/requests/tests/test_commit.py
+++ b/railtide/requests/tests/test_commit.py
@@ -3,9 +3,9 @@
 import pytest
 import trio
 
-from railtide.budgets.treasury import Epoch, Reservation
+from railtide.budgets.log_budget_source import Epoch, LogReservation
 from railtide.configuration.models import AccountSettings
-from railtide.journal.entries import Code, Verdict
+from railtide.journal.entries import Verdict, VerdictCode
 from railtide.journal.writer import Writer
 from railtide.lanes.queue import Urgency
 from railtide.membership.messages import Heartbeat
@@ -54,8 +54,8 @@
         self.writer = Writer("h", lambda entry, trace: None)
         self.reachable = True
         epoch = Epoch(self.writer)
-        hand = epoch.hand("a")
-        hand.granted, hand.reserved, hand.exposure_limit = 100, 10, exposure
+        allocation = epoch.allocation("a")
+        allocation.granted, allocation.reserved, allocation.exposure_limit = 100, 10, exposure
         services = Services(
             None,
             OPTIONS,
@@ -68,11 +68,11 @@
             None,
             None,
         )
-        self.commit = LogCommit(call_with(key), Reservation(epoch, "a", 10), services)
+        self.commit = LogCommit(call_with(key), LogReservation(epoch, "a", 10), services)
 
-    def decide(self, code: str = Code.OK, **more: object) -> None:
+    def decide(self, code: str = VerdictCode.OK, **more: object) -> None:
         seq = self.writer.pending()[0].seq
-        self.writer.take_verdict(Verdict(seq, code, 0, **more))
+        self.writer.apply_verdict(Verdict(seq, code, 0, **more))
 
 
 class TestPrepare:
@@ -98,7 +98,7 @@
             async with trio.open_nursery(strict_exception_groups=False) as nursery:
                 nursery.start_soon(case.commit.prepare)
                 await trio.sleep(0.5)
-                case.decide(Code.KEY_USED, outcome=Outcome.DONE, answer=answer)
+                case.decide(VerdictCode.KEY_USED, outcome=Outcome.DONE, answer=answer)
         assert known.value.answer == answer
 
     async def test_fenced_holder_sends_nothing(self, autojump_clock) -> None:
@@ -156,10 +156,10 @@
     @pytest.mark.parametrize(
         "code,outcome,error",
         [
-            (Code.KEY_OPEN, "", RequestInProgress),
-            (Code.KEY_MISMATCH, "", KeyReused),
-            (Code.KEY_USED, Outcome.UNKNOWN, OutcomeUnknown),
-            (Code.KEY_USED, Outcome.DONE, AnswerGone),
+            (VerdictCode.KEY_OPEN, "", RequestInProgress),
+            (VerdictCode.KEY_MISMATCH, "", KeyReused),
+            (VerdictCode.KEY_USED, Outcome.UNKNOWN, OutcomeUnknown),
+            (VerdictCode.KEY_USED, Outcome.DONE, AnswerGone),
         ],
     )
     def test_raises_the_error_for_the_state_of_the_key(
--- a/railtide/requests/tests/test_recovery.py
+++ b/railtide/requests/tests/test_recovery.py
@@ -2,8 +2,8 @@
 
 import trio
 
-from railtide.budgets.treasury import Epoch, Treasury
-from railtide.journal.entries import Code, Entry, Verdict, record_of
+from railtide.budgets.log_budget_source import Epoch, LogBudgetSource
+from railtide.journal.entries import Entry, Verdict, VerdictCode, decode_record
 from railtide.journal.writer import Writer
 from railtide.lanes.scheduler import PoolScheduler
 from railtide.membership.instances import Instance
@@ -32,10 +32,10 @@
         self.fenced = False
         scheduler = PoolScheduler(RoundRobin())
         scheduler.set_upstreams([Instance(n, "1", n, "a", "engine", "p") for n in reports])
-        treasury = Treasury(self._open, lambda: True, lambda settings: 1)
-        treasury.begin()
+        budgets = LogBudgetSource(self._open, lambda: True, lambda settings: 1)
+        budgets.begin()
         self.recovery = Recovery(
-            treasury, {"p": scheduler}.get, lambda pool: Prices(1, 2), self, OPTIONS, Counters()
+            budgets, {"p": scheduler}.get, lambda pool: Prices(1, 2), self, OPTIONS, Counters()
         )
 
     def _open(self) -> Epoch:
@@ -43,11 +43,11 @@
         return Epoch(self.writer)
 
     def _on_entry(self, entry: Entry, trace: str) -> None:
-        self.records.append(record_of(entry))
+        self.records.append(decode_record(entry))
         trio.lowlevel.spawn_system_task(self._decide, entry.seq)
 
     async def _decide(self, seq: int) -> None:
-        self.writer.take_verdict(Verdict(seq, Code.OK, 0, fenced=self.fenced))
+        self.writer.apply_verdict(Verdict(seq, VerdictCode.OK, 0, fenced=self.fenced))
 
     async def run_report(self, upstream: Instance, request_id: str) -> RunReport:
         reports = self.reports[upstream.name]
--- a/railtide/upstreams/tests/test_limit_shares.py
+++ b/railtide/upstreams/tests/test_limit_shares.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from railtide.membership.entrance_set import Visits
+from railtide.membership.router_selection import RouterTraffic
 from railtide.upstreams.limit_shares import (
     PROBE_AFTER_S,
     PROBE_STAGGER_S,
@@ -30,15 +30,15 @@
     return max((sum(at <= t < at + WINDOW_S for t in times) for at in times), default=0)
 
 
-def traffic_of(named: list[str]) -> Visits:
+def traffic_of(named: list[str]) -> RouterTraffic:
     """Return that callers use the named ones of all routers."""
-    return Visits(tuple(named), tuple(name for name in NAMES if name not in named))
+    return RouterTraffic(tuple(named), tuple(name for name in NAMES if name not in named))
 
 
 def intervals(named: list[str], per_s: float) -> list[float]:
     """Return the interval of each router, named or not."""
-    visits = traffic_of(named)
-    return [LimitShares(r, lambda: visits).interval_s("e", per_s) for r in NAMES]
+    traffic = traffic_of(named)
+    return [LimitShares(r, lambda: traffic).interval_s("e", per_s) for r in NAMES]
 
 
 class TestBound:
@@ -69,8 +69,8 @@
 
     @given(st.integers(min_value=1, max_value=60), RATES)
     def test_limit_is_used_fully(self, routers: int, per_s: float) -> None:
-        visits = Visits(tuple(f"r{n}" for n in range(routers)))
-        parts = [LimitShares(r, lambda: visits).interval_s("e", per_s) for r in visits.visited]
+        traffic = RouterTraffic(tuple(f"r{n}" for n in range(routers)))
+        parts = [LimitShares(r, lambda: traffic).interval_s("e", per_s) for r in traffic.active]
         sent_per_s = sum(1 / interval for interval in parts)
         assert math.isclose(sent_per_s, per_s)
 
@@ -86,40 +86,38 @@
         assert min(parts.values()) >= 1 and max(parts.values()) <= 14
 
     def test_routers_without_a_share_probe_one_after_the_other(self) -> None:
-        visits = traffic_of(NAMES[:5])
+        traffic = traffic_of(NAMES[:5])
         waits = []
         for router in NAMES:
-            shares = LimitShares(router, lambda: visits)
+            shares = LimitShares(router, lambda: traffic)
             if math.isinf(shares.interval_s("e", 1.0)):
                 waits.append(shares.probe_after_s("e", 1.0))
         assert sorted(waits) == [PROBE_AFTER_S + PROBE_STAGGER_S * place for place in range(37)]
 
     def test_router_that_knows_no_other_router_probes_first(self) -> None:
-        shares = LimitShares("r1", Visits)
+        shares = LimitShares("r1", RouterTraffic)
         assert math.isinf(shares.interval_s("e", 1.0))
         assert shares.probe_after_s("e", 1.0) == PROBE_AFTER_S
 
     def test_router_with_a_new_share_probes_first(self) -> None:
         """The view of the fleet is read again for each call."""
-        shares = LimitShares("r1", lambda: Visits(("r1",)))
+        shares = LimitShares("r1", lambda: RouterTraffic(("r1",)))
         assert shares.probe_after_s("e", 1.0) == PROBE_AFTER_S
 
     def test_shares_are_updated_when_the_fleet_changes(self) -> None:
-        known = [Visits(("r1", "r2")), Visits(("r1",))]
+        known = [RouterTraffic(("r1", "r2")), RouterTraffic(("r1",))]
         shares = LimitShares("r1", lambda: known[0])
         assert shares.interval_s("e", 1.0) == 2.0
         del known[0]
         assert shares.interval_s("e", 1.0) == 1.0
 
     @given(st.integers(min_value=1, max_value=39), st.floats(min_value=0.05, max_value=400.0))
-    def test_all_shares_together_do_not_exceed_the_limit(self, visited: int, per_s: float) -> None:
-        sent_per_s = sum(1 / interval for interval in intervals(NAMES[:visited], per_s))
+    def test_all_shares_together_do_not_exceed_the_limit(self, active: int, per_s: float) -> None:
+        sent_per_s = sum(1 / interval for interval in intervals(NAMES[:active], per_s))
         assert sent_per_s < per_s or math.isclose(sent_per_s, per_s)
 
     @given(RATES, st.integers(min_value=1, max_value=39))
-    def test_idle_routers_have_a_share_of_high_limits_only(
-        self, per_s: float, visited: int
-    ) -> None:
-        visits = traffic_of(NAMES[:visited])
-        interval = LimitShares(NAMES[-1], lambda: visits).interval_s("e", per_s)
-        assert math.isfinite(interval) == (len(visits.idle) <= 0.2 * per_s)
+    def test_idle_routers_have_a_share_of_high_limits_only(self, per_s: float, active: int) -> None:
+        traffic = traffic_of(NAMES[:active])
+        interval = LimitShares(NAMES[-1], lambda: traffic).interval_s("e", per_s)
+        assert math.isfinite(interval) == (len(traffic.idle) <= 0.2 * per_s)
