--- a/railtide/operators/tests/test_program.py
+++ b/railtide/operators/tests/test_program.py
@@ -53,7 +53,7 @@
     def test_kinds_of_an_error_leave_its_meaning(self) -> None:
         meaning_by_code = {info.code: info.meaning for info in all_codes()}
         assert meaning_by_code["upstream-refused"].startswith("The call certainly did not run")
-        assert meaning_by_code["upstream-lost"].startswith("Bytes left for the upstream")
+        assert meaning_by_code["upstream-lost"].startswith("The call was sent, at least in part")
 
     def test_explain_names_unknown_codes(self, monkeypatch, capsys) -> None:
         assert run(monkeypatch, ctl_main, "explain", "nonsense") == 1
