--- a/railtide/journal/eras.py
+++ b/railtide/journal/eras.py
@@ -1,7 +1,8 @@
-"""The eras of a store: which of its answers count, and when it has come back older.
+"""Tracks the era of a store: which answers are valid, and when the store was rolled back.
 
-Each answer tells its era. A higher one than any before says that the store came back from a copy:
-what was read, and what was sent and not answered, is of a former era.
+Each answer states the store's era. An era higher than any before means that the store was restored
+from an older copy: whatever was read before, and calls that are still unanswered, belong to a
+former era.
 """
 
 import re
@@ -12,18 +13,19 @@
 from railtide.journal.errors import EraRisen, LogUnavailable
 from railtide.telemetry.counters import Counters
 
-__all__ = ["MOST_TOLD", "EraTracker"]
+__all__ = ["MAX_LOGGED_VALUES", "EraTracker"]
 
 NUMBER = re.compile(r"[0-9]{1,18}", re.ASCII)
-"""An era: below 2^63, as the store's other numbers."""
-MOST_TOLD = 20
-"""Lines on bad values in one era; a server that tells another one each time would fill the log."""
-MOST_LETTERS = 32
-"""Of an unreadable value in a line."""
+"""An era; at most 18 digits keep it below 2^63, like the store's other numbers."""
+MAX_LOGGED_VALUES = 20
+"""Bad values logged in one era; a server that sends a different one each time would flood the
+log."""
+MAX_LOGGED_CHARS = 32
+"""Characters of an unreadable value that are logged."""
 
 
 class EraTracker:
-    """What one process was told of the eras of its store.
+    """The era of a store, as far as its answers have stated it to this process.
 
     Parameters
     ----------
@@ -32,9 +34,9 @@
     Attributes
     ----------
     current : int or None
-        The highest era told; None for a store that tells none.
+        The highest era stated so far; None if the store has stated none.
     rises : int
-        How often it has risen. A call notes it when it is sent, see `check_unchanged`.
+        How often the era has risen. A call remembers it when it is sent; see `check_unchanged`.
 
     Examples
     --------
@@ -51,29 +53,40 @@
         self.rises = 0
         self._counters = counters
         self._listeners: list[Callable[[], None]] = []
-        self._told: set[str | None] = set()
+        self._logged_values: set[str | None] = set()
 
     def on_era_rise(self, listener: Callable[[], None]) -> None:
-        """Have a listener told of each rise, once `current` is the new era."""
+        """Register a listener that is called after each rise, when `current` is the new era."""
         self._listeners.append(listener)
 
-    def accept(self, told: str | None) -> None:
-        """Take what an answer tells, before anything else of it; None where it tells nothing.
+    def accept(self, value: str | None) -> None:
+        """Process the era that an answer states; this must precede any other use of the answer.
+
+        Parameters
+        ----------
+        value : str or None
+            The era as it stands in the answer; None if it states none.
 
         Raises
         ------
         LogUnavailable
-            It is no answer: of a former era, or of none that can be read though one was seen.
+            The answer must be discarded: it is from a former era, or its era is missing or
+            unreadable although the store has stated one before.
         """
-        if told is None:
+        if value is None:
             self._refuse_missing()
-        elif not NUMBER.fullmatch(told):
-            self._refuse_unreadable(told[:MOST_LETTERS])
+        elif not NUMBER.fullmatch(value):
+            self._refuse_unreadable(value[:MAX_LOGGED_CHARS])
         else:
-            self._take_number(int(told))
+            self._accept_number(int(value))
 
     def check_unchanged(self, rises: int) -> None:
-        """Refuse the answer of a call that was sent when `rises` was as given.
+        """Check that the era has not risen since a call was sent.
+
+        Parameters
+        ----------
+        rises : int
+            The value of `self.rises` when the call was sent.
 
         Raises
         ------
@@ -81,23 +94,23 @@
             The era has risen since.
         """
         if rises != self.rises:
-            raise EraRisen(f"the store came back in era {self.current} meanwhile")
+            raise EraRisen(f"the store's era rose to {self.current} during the call")
 
-    def _take_number(self, era: int) -> None:
+    def _accept_number(self, era: int) -> None:
         if self.current is None:
             self.current = era
         elif era > self.current:
             self._rise(era)
         elif era < self.current:
             self._counters.add("store_answers_era_lower")
-            if self._is_to_tell(str(era)):
+            if self._is_to_log(str(era)):
                 logger.bind(told=str(era), era=self.current).error("store-era-lower")
-            raise LogUnavailable(f"the answer is of era {era}, the store is in {self.current}")
+            raise LogUnavailable(f"answer is from era {era}, store is in era {self.current}")
 
     def _rise(self, era: int) -> None:
         before, self.current = self.current, era
         self.rises += 1
-        self._told.clear()
+        self._logged_values.clear()
         self._counters.add("store_era_rises")
         logger.bind(before=before, era=era).warning("store-era-risen")
         for listener in self._listeners:
@@ -107,20 +120,20 @@
         if self.current is None:
             return
         self._counters.add("store_answers_era_missing")
-        if self._is_to_tell(None):
+        if self._is_to_log(None):
             logger.bind(era=self.current).error("store-era-missing")
-        raise LogUnavailable("the answer tells no era")
+        raise LogUnavailable("the answer states no era")
 
-    def _refuse_unreadable(self, told: str) -> None:
+    def _refuse_unreadable(self, value: str) -> None:
         self._counters.add("store_answers_era_unreadable")
-        if self._is_to_tell(told):
-            logger.bind(told=told, era=self.current).error("store-era-unreadable")
+        if self._is_to_log(value):
+            logger.bind(told=value, era=self.current).error("store-era-unreadable")
         if self.current is not None:
-            raise LogUnavailable(f"the answer's era is unreadable: {told!r}")
+            raise LogUnavailable(f"the answer's era is unreadable: {value!r}")
 
-    def _is_to_tell(self, value: str | None) -> bool:
-        """Return whether a bad value is new in this era."""
-        if value in self._told or len(self._told) >= MOST_TOLD:
+    def _is_to_log(self, value: str | None) -> bool:
+        """Return whether to log a bad value: once per era, and only so many values."""
+        if value in self._logged_values or len(self._logged_values) >= MAX_LOGGED_VALUES:
             return False
-        self._told.add(value)
+        self._logged_values.add(value)
         return True
--- a/railtide/journal/response_timeouts.py
+++ b/railtide/journal/response_timeouts.py
@@ -1,4 +1,4 @@
-"""How long answers of a store may take to begin: longer after each that did not begin in time."""
+"""Adaptive timeouts for the first byte of a store's answers."""
 
 import trio
 
@@ -7,37 +7,36 @@
 __all__ = ["ResponseTimeouts"]
 
 GROWTH = 2.0
-TRIES = 2
-"""Tries with the same wait before it grows."""
+ATTEMPTS_PER_TIMEOUT = 2
+"""Attempts with the same timeout before it grows."""
 MARGIN = 1.25
-"""Wait for an answer against how long the latest took to begin: answers vary by less than that from
-one to the next of a store that is slow (RFC 6298 starts at three times, with one sample)."""
-HEARD = 3.0
-"""Usual waits for which a store counts as heard after an answer: it may be slow by as much."""
+"""Timeout relative to the latest time to first byte; successive answers of a slow store vary by
+less (RFC 6298 starts at three times, with one sample)."""
+RESPONSIVE_TIMEOUTS = 3.0
+"""How long a store counts as responsive after an answer, in usual timeouts; it may be that slow."""
 
 
 class ResponseTimeouts:
-    """The waits for the first byte of answers, by what is asked.
+    """Timeouts for the first byte of answers, per subject of the calls.
 
-    A store that is slow, or that has a queue of large answers, begins each of them later than
-    usual. A try that waits no longer than the one before would be given up again, and cost the
-    queue as much as the one before. A wait doubles therefore at every second try while answers of
-    its subject don't begin, and is as long as an answer takes once one does (RFC 6298, 5.5 to 5.7:
-    the same for retransmissions). The first try after a silence waits as long as the one before: a
-    connection that fell silent, or an answer that was lost, is no sign of a slow store. An answer
-    that took longer than usual is one.
+    A slow store, or one with a queue of large answers, starts each answer later than usual. An
+    attempt with the same timeout as the one before would time out again and cost the queue as much.
+    Therefore the timeout of a subject doubles at every second attempt while no answer begins, and
+    follows the measured time once one does (RFC 6298, 5.5 to 5.7, does the same for
+    retransmissions). The first retry keeps the timeout: a dead connection or a lost answer is no
+    sign of a slow store, whereas an answer that took longer than usual is.
 
-    A wait that has grown must not delay the word that a silent store is back. So while no answer of
-    any subject begins, one call at most waits longer than usual; and the first answer after such
-    a silence ends each wait that is longer. With more of them the return was heard 4 s late, in
-    place of 1.7 s (model of one router's calls, 60 silences of 20 s).
+    A longer timeout must not delay the discovery that an unresponsive store is back. While no
+    answer of any subject begins, at most one call waits longer than usual, and the first answer
+    after such a time shortens all longer waits. With several long waits, the store's return was
+    noticed after 4 s instead of 1.7 s (simulation of one router's calls, 60 outages of 20 s).
 
     Parameters
     ----------
     usual_s : float
-        Longest wait for the first byte while answers begin in time.
-    most_s : float
-        Bound of the doubling.
+        Timeout for the first byte while answers begin in time.
+    max_s : float
+        Upper bound of the doubled timeout.
 
     Examples
     --------
@@ -54,66 +53,68 @@
     [1.0, 1.0, 2.0, 2.0, 1.0]
     """
 
-    def __init__(self, usual_s: float, most_s: float) -> None:
+    def __init__(self, usual_s: float, max_s: float) -> None:
         self._usual_s = usual_s
-        self._most_s = most_s
-        self._silences_by_subject: dict[str, int] = {}
+        self._max_s = max_s
+        self._timeouts_by_subject: dict[str, int] = {}
         self._needed_by_subject: dict[str, float] = {}
-        self._heard_at = trio.current_time()
+        self._answered_at = trio.current_time()
         self._usual_by_watch: dict[StallWatch, float] = {}
-        self._grown: set[StallWatch] = set()
+        self._extended: set[StallWatch] = set()
 
     def timeout_s(self, subject: str | None) -> float:
-        """Return how long the next answer on a subject may take to begin, seconds.
+        """Return the timeout in seconds for the first byte of the next answer on a subject.
 
-        Without a subject it is as usual.
+        Without a subject it is the usual one.
         """
-        silences = self._silences_by_subject.get(subject, 0)
+        timed_out = self._timeouts_by_subject.get(subject, 0)
         needed_s = self._needed_by_subject.get(subject, self._usual_s)
-        grown = min(self._most_s, needed_s * GROWTH ** (silences // TRIES))
-        is_heard = trio.current_time() - self._heard_at <= HEARD * self._usual_s
-        return grown if is_heard or not self._grown else self._usual_s
+        extended = min(self._max_s, needed_s * GROWTH ** (timed_out // ATTEMPTS_PER_TIMEOUT))
+        is_responsive = (
+            trio.current_time() - self._answered_at <= RESPONSIVE_TIMEOUTS * self._usual_s
+        )
+        return extended if is_responsive or not self._extended else self._usual_s
 
     def note_sent(self, watch: StallWatch, timeout_s: float, held_s: float) -> None:
-        """Record that a call is under way.
+        """Record that a call was sent.
 
         Parameters
         ----------
         watch : StallWatch
-            Of the call.
+            The call's watch.
         timeout_s : float
-            As `timeout_s` told for it.
+            The call's timeout, as returned by the method `timeout_s`.
         held_s : float
-            For how long the store was asked to hold its answer.
+            How long the store was asked to hold its answer (long poll).
         """
         self._usual_by_watch[watch] = held_s + self._usual_s
         if timeout_s > self._usual_s:
-            self._grown.add(watch)
+            self._extended.add(watch)
 
     def note_ended(self, watch: StallWatch) -> None:
-        """Record that a call is over."""
+        """Record that a call has ended."""
         self._usual_by_watch.pop(watch, None)
-        self._grown.discard(watch)
+        self._extended.discard(watch)
 
     def note_timeout(self, subject: str | None) -> None:
-        """Record that an answer did not begin in time."""
+        """Record that no first byte arrived within the timeout."""
         if subject is None:
             return
-        known = self._silences_by_subject.get(subject, 0)
-        self._silences_by_subject[subject] = min(known + 1, 32)
+        known = self._timeouts_by_subject.get(subject, 0)
+        self._timeouts_by_subject[subject] = min(known + 1, 32)
 
     def note_first_byte(self, subject: str | None, took_s: float = 0.0) -> None:
-        """Record that an answer began so many seconds after its call.
+        """Record that an answer began `took_s` seconds after its call was sent.
 
-        The next waits are as long as that one needed. With the usual wait again, a store that takes
-        1.6 s an answer would be given up at each second call.
+        The subject's next timeouts are as long as this answer needed. With the usual timeout, every
+        second call to a store that takes 1.6 s per answer would time out.
         """
         needed_s = max(self._usual_s, took_s * MARGIN)
         if subject is not None:
-            self._silences_by_subject.pop(subject, None)
+            self._timeouts_by_subject.pop(subject, None)
             self._needed_by_subject[subject] = needed_s
         now = trio.current_time()
-        if now - self._heard_at > self._usual_s:
+        if now - self._answered_at > self._usual_s:
             for watch, usual_s in self._usual_by_watch.items():
                 watch.hurry(usual_s + needed_s - self._usual_s)
-        self._heard_at = now
+        self._answered_at = now
--- a/railtide/journal/tests/test_eras.py
+++ b/railtide/journal/tests/test_eras.py
@@ -5,7 +5,7 @@
 import pytest
 from loguru import logger
 
-from railtide.journal.eras import MOST_TOLD, EraTracker
+from railtide.journal.eras import MAX_LOGGED_VALUES, EraTracker
 from railtide.journal.errors import EraRisen, LogUnavailable
 from railtide.telemetry.counters import Counters
 
@@ -123,7 +123,7 @@
     def test_lines_on_values_that_differ_each_time_are_bounded(self, lines) -> None:
         eras = EraTracker(Counters())
         eras.accept("3")
-        for n in range(3 * MOST_TOLD):
+        for n in range(3 * MAX_LOGGED_VALUES):
             with pytest.raises(LogUnavailable):
                 eras.accept(f"x{n}")
-        assert len(lines) == MOST_TOLD
+        assert len(lines) == MAX_LOGGED_VALUES
--- a/railtide/journal/tests/test_response_timeouts.py
+++ b/railtide/journal/tests/test_response_timeouts.py
@@ -5,7 +5,7 @@
 import trio
 
 from railtide.http.stall import StallWatch
-from railtide.journal.response_timeouts import HEARD, MARGIN, ResponseTimeouts
+from railtide.journal.response_timeouts import MARGIN, RESPONSIVE_TIMEOUTS, ResponseTimeouts
 
 USUAL_S = 1.0
 MOST_S = 8.0
@@ -76,7 +76,7 @@
         for subject in ("large", "other"):
             for _ in range(4):
                 timeouts.note_timeout(subject)
-        await trio.sleep(HEARD * USUAL_S + 0.1)
+        await trio.sleep(RESPONSIVE_TIMEOUTS * USUAL_S + 0.1)
         assert timeouts.timeout_s("large") == 4 * USUAL_S
         watch = StallWatch(4 * USUAL_S, USUAL_S)
         timeouts.note_sent(watch, 4 * USUAL_S, 0.0)
@@ -91,7 +91,7 @@
         for _ in range(4):
             timeouts.note_timeout("large")
         timeouts.note_sent(StallWatch(MOST_S, USUAL_S), MOST_S, 0.0)
-        await trio.sleep(HEARD * USUAL_S + 0.1)
+        await trio.sleep(RESPONSIVE_TIMEOUTS * USUAL_S + 0.1)
         assert timeouts.timeout_s("large") == USUAL_S
         timeouts.note_first_byte("small")
         assert timeouts.timeout_s("large") == 4 * USUAL_S
@@ -100,30 +100,30 @@
         self, autojump_clock
     ) -> None:
         timeouts = ResponseTimeouts(USUAL_S, MOST_S)
-        grown = Hurried(MOST_S, USUAL_S)
+        extended = Hurried(MOST_S, USUAL_S)
         held = Hurried(5.0 + USUAL_S, USUAL_S)
-        timeouts.note_sent(grown, MOST_S, 0.0)
+        timeouts.note_sent(extended, MOST_S, 0.0)
         timeouts.note_sent(held, USUAL_S, 5.0)
         await trio.sleep(3.0)
         timeouts.note_first_byte("small")
-        assert grown.head_s == USUAL_S
+        assert extended.head_s == USUAL_S
         assert (
             held.head_s == 5.0 + USUAL_S
         ), "a call that the store was asked to hold keeps its time"
 
     async def test_late_answer_leaves_others_as_much_time(self, autojump_clock) -> None:
         timeouts = ResponseTimeouts(USUAL_S, MOST_S)
-        grown = Hurried(MOST_S, USUAL_S)
-        timeouts.note_sent(grown, MOST_S, 0.0)
+        extended = Hurried(MOST_S, USUAL_S)
+        timeouts.note_sent(extended, MOST_S, 0.0)
         await trio.sleep(3.0)
         timeouts.note_first_byte("small", took_s=1.6)
-        assert grown.head_s == 1.6 * MARGIN
+        assert extended.head_s == 1.6 * MARGIN
 
     async def test_an_answer_without_a_silence_hurries_nobody(self, autojump_clock) -> None:
         timeouts = ResponseTimeouts(USUAL_S, MOST_S)
-        grown = Hurried(MOST_S, USUAL_S)
-        timeouts.note_sent(grown, MOST_S, 0.0)
+        extended = Hurried(MOST_S, USUAL_S)
+        timeouts.note_sent(extended, MOST_S, 0.0)
         for _ in range(5):
             await trio.sleep(0.9 * USUAL_S)
             timeouts.note_first_byte("small")
-        assert grown.head_s == math.inf
+        assert extended.head_s == math.inf
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -1542,8 +1542,8 @@
     Mutant(
         "store-that-is-heard-has-one-longer-wait",
         "journal/response_timeouts.py",
-        "return grown if is_heard or not self._grown else self._usual_s",
-        "return grown if not self._grown else self._usual_s",
+        "return extended if is_responsive or not self._extended else self._usual_s",
+        "return extended if not self._extended else self._usual_s",
         (PATIENCE,),
     ),
     Mutant(
@@ -1584,8 +1584,8 @@
     Mutant(
         "lost-answer-is-taken-for-a-slow-store",
         "journal/response_timeouts.py",
-        "TRIES = 2",
-        "TRIES = 1",
+        "ATTEMPTS_PER_TIMEOUT = 2",
+        "ATTEMPTS_PER_TIMEOUT = 1",
         (PATIENCE,),
     ),
     Mutant(
@@ -1647,7 +1647,7 @@
     Mutant(
         "late-answer-is-never-waited-for",
         "journal/response_timeouts.py",
-        "needed_s * GROWTH ** (silences // TRIES)",
+        "needed_s * GROWTH ** (timed_out // ATTEMPTS_PER_TIMEOUT)",
         "needed_s",
         (PATIENCE,),
     ),
@@ -1746,14 +1746,14 @@
     Mutant(
         "wait-for-an-answer-grows-without-end",
         "journal/response_timeouts.py",
-        "min(self._most_s, needed_s * GROWTH ** (silences // TRIES))",
-        "needed_s * GROWTH ** (silences // TRIES)",
+        "min(self._max_s, needed_s * GROWTH ** (timed_out // ATTEMPTS_PER_TIMEOUT))",
+        "needed_s * GROWTH ** (timed_out // ATTEMPTS_PER_TIMEOUT)",
         (PATIENCE,),
     ),
     Mutant(
         "wait-stays-long-behind-an-answer",
         "journal/response_timeouts.py",
-        "            self._silences_by_subject.pop(subject, None)\n",
+        "            self._timeouts_by_subject.pop(subject, None)\n",
         "",
         (PATIENCE,),
     ),
@@ -1886,28 +1886,28 @@
     Mutant(
         "only-call-of-a-client-never-waits-longer",
         "journal/response_timeouts.py",
-        "return grown if is_heard or not self._grown else self._usual_s",
-        "return grown if is_heard else self._usual_s",
+        "return extended if is_responsive or not self._extended else self._usual_s",
+        "return extended if is_responsive else self._usual_s",
         (f"{NARROW}::TestSlowStore", PATIENCE),
     ),
     Mutant(
         "calls-that-wait-longer-vouch-for-each-other",
         "journal/response_timeouts.py",
-        "        if timeout_s > self._usual_s:\n            self._grown.add(watch)\n",
+        "        if timeout_s > self._usual_s:\n            self._extended.add(watch)\n",
         "",
         (PATIENCE,),
     ),
     Mutant(
         "lower-era-is-an-answer",
         "journal/eras.py",
-        'raise LogUnavailable(f"the answer is of era {era}',
-        'str(f"the answer is of era {era}',
+        'raise LogUnavailable(f"answer is from era {era}',
+        'str(f"answer is from era {era}',
         (ERAS, STORE_ERAS),
     ),
     Mutant(
         "answer-without-an-era-is-one",
         "journal/eras.py",
-        '        raise LogUnavailable("the answer tells no era")\n',
+        '        raise LogUnavailable("the answer states no era")\n',
         "",
         (ERAS, STORE_ERAS),
     ),
@@ -1936,7 +1936,7 @@
     Mutant(
         "bad-eras-are-told-per-call",
         "journal/eras.py",
-        "        self._told.add(value)\n",
+        "        self._logged_values.add(value)\n",
         "",
         (ERAS,),
     ),
