--- a/railtide/journal/__init__.py
+++ b/railtide/journal/__init__.py
@@ -1,1 +1,1 @@
-"""The journal: entries in the platform's log, their fold, checkpoints and ways to the log."""
+"""The journal: entries in the platform's log, their fold into state, checkpoints, and clients."""
--- a/railtide/journal/checkpoint.py
+++ b/railtide/journal/checkpoint.py
@@ -1,7 +1,7 @@
-"""Checkpoints: the folded state as records of a stream of their own.
+"""Checkpoints of the folded state, written to a stream of their own.
 
-A checkpoint is written in parts, none larger than `PART_BYTES`; one whose parts are not all
-there is passed over. The newest whole one is the start of a new reader.
+A checkpoint is written in parts of at most `PART_BYTES`; incomplete checkpoints are ignored. A new
+reader starts from the newest complete one.
 """
 
 import msgspec
@@ -26,7 +26,7 @@
 
 
 class CheckpointPart(msgspec.Struct, frozen=True, array_like=True):
-    """One part of a checkpoint of the state at `offset`."""
+    """One part of a writer's checkpoint of the state at `offset`."""
 
     offset: int
     writer: str
@@ -66,16 +66,22 @@
 
 
 async def write_checkpoint(log: LogClient, stream: str, parts: list[bytes]) -> None:
-    """Append the parts of a checkpoint; `LogUnavailable` leaves it incomplete."""
+    """Append the parts of a checkpoint.
+
+    Raises
+    ------
+    LogUnavailable
+        The checkpoint may be incomplete.
+    """
     for part in parts:
         await log.append(stream + STREAM_SUFFIX, part)
 
 
 class CheckpointReader:
-    """Finds the newest whole checkpoint, from the stream's end backwards, part by part.
+    """Finds the newest complete checkpoint, reading parts backwards from the stream's end.
 
-    What was read stays read: after a call that failed, `newest` goes on with the part that it
-    lacks, however large the checkpoint is.
+    Parts that were read are kept: after a failed call, `newest` continues with the first missing
+    part, so that even a large checkpoint is completed over an unreliable connection.
 
     Parameters
     ----------
@@ -86,6 +92,7 @@
     Attributes
     ----------
     records_read : int
+        Parts read so far.
     """
 
     def __init__(self, log: LogClient, stream: str) -> None:
@@ -97,12 +104,12 @@
         self._parts_by_writer: dict[tuple[str, int], dict[int, bytes]] = {}
 
     async def newest(self) -> State | None:
-        """Return the newest whole checkpoint, or None.
+        """Return the state of the newest complete checkpoint, or None.
 
         Raises
         ------
         LogUnavailable
-            No answer; to be called again.
+            No answer; call again to continue.
         """
         if self._next is None:
             self._next = await self._head() - 1
@@ -111,9 +118,9 @@
             if record is None:
                 break
             self._next -= 1
-            whole = self._take(record)
-            if whole is not None:
-                return state_from_bytes(whole)
+            complete = self._add_part(record)
+            if complete is not None:
+                return state_from_bytes(complete)
         return None
 
     async def _head(self) -> int:
@@ -124,7 +131,7 @@
             return (await self._log.read(self._stream, self._first, 1, 0)).head
 
     async def _read_one(self, offset: int) -> LogRecord | None:
-        """Return the record at an offset, None if the log does not keep it any more."""
+        """Return the record at an offset, or None if the log no longer keeps it."""
         try:
             page = await self._log.read(self._stream, offset, 1, 0)
         except RecordsExpired:
@@ -134,8 +141,8 @@
         self.records_read += 1
         return page.records[0]
 
-    def _take(self, record: LogRecord) -> bytes | None:
-        """Take a part; return the checkpoint that it makes whole."""
+    def _add_part(self, record: LogRecord) -> bytes | None:
+        """Add a part; return the encoded checkpoint if that completes it, else None."""
         part = msgspec.msgpack.decode(record.data, type=CheckpointPart)
         parts = self._parts_by_writer.setdefault((part.writer, part.offset), {})
         parts[part.index] = part.data
@@ -145,5 +152,5 @@
 
 
 async def latest_checkpoint(log: LogClient, stream: str) -> State | None:
-    """Return the newest whole checkpoint, or None; see `CheckpointReader.newest`."""
+    """Return the state of the newest complete checkpoint, or None."""
     return await CheckpointReader(log, stream).newest()
--- a/railtide/journal/client.py
+++ b/railtide/journal/client.py
@@ -1,4 +1,4 @@
-"""How a process reaches the platform's log: the interface."""
+"""Interface of clients of the platform's log."""
 
 from abc import ABC, abstractmethod
 from dataclasses import dataclass
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True)
 class LogRecord:
-    """One record: its offset, the log's time in milliseconds, its bytes."""
+    """One record: its offset, the log's time of the append in milliseconds, and its payload."""
 
     offset: int
     stamp: int
@@ -17,14 +17,14 @@
 
 @dataclass(frozen=True)
 class Page:
-    """Records in order, and the offset that the next append will get."""
+    """Records in order, and the head: the offset that the next append will get."""
 
     records: list[LogRecord]
     head: int
 
 
 class LogClient(ABC):
-    """A way to the log."""
+    """Client of the platform's log."""
 
     @abstractmethod
     async def append(self, stream: str, data: bytes) -> int:
@@ -33,7 +33,7 @@
         Raises
         ------
         LogUnavailable
-            The record may or may not be in the log.
+            The record may or may not have been appended.
         """
 
     @abstractmethod
@@ -45,5 +45,5 @@
         LogUnavailable
             No answer.
         RecordsExpired
-            The log does not keep `start` any more.
+            The log no longer keeps `start`.
         """
--- a/railtide/journal/errors.py
+++ b/railtide/journal/errors.py
@@ -20,16 +20,17 @@
 
 
 class EraRisen(LogUnavailable):
-    """A call was sent in one era of the store and not answered in it.
+    """The store was rolled back to an older copy while a call was in progress.
 
-    What it was to read is of no use, and an append may be there, be gone, or come to be there.
+    What the call was to read is useless. An append may have been kept or lost, or may still take
+    effect.
     """
 
     code = "era-risen"
 
 
 class RecordsExpired(JournalError):
-    """The records asked for are older than the log keeps; start from a checkpoint.
+    """The requested records are older than the log keeps; start from a checkpoint.
 
     Parameters
     ----------
@@ -40,7 +41,7 @@
     code = "records-expired"
 
     def __init__(self, first: int) -> None:
-        super().__init__(f"the log keeps records from offset {first} on")
+        super().__init__(f"the log only keeps records from offset {first} on")
         self.first = first
 
 
--- a/railtide/journal/hedge.py
+++ b/railtide/journal/hedge.py
@@ -1,8 +1,8 @@
-"""Hedged calls: others beside one that stays silent, of which the first to be answered counts.
+"""Hedged calls: further attempts beside one that stays unanswered; the first answer wins.
 
-Whether a call without an answer waits on a slow peer or on a connection that is gone can't be told
-from the call. To give it up and ask again loses its place at the slow one; to wait on loses the
-time at the gone one. A call that stays and another on a new connection lose neither.
+An unanswered call does not show whether its peer is slow or its connection is dead. Cancelling and
+retrying loses the place in a slow peer's queue; waiting loses time on a dead connection. Keeping
+the call and making another one on a new connection avoids both.
 
 References
 ----------
@@ -22,17 +22,17 @@
 
 T = TypeVar("T")
 Claim = Callable[[], None]
-"""Called as soon as an attempt's answer begins: all others are given up."""
+"""Called by an attempt as soon as its answer begins; cancels all other attempts."""
 Attempt = Callable[[Claim], Awaitable[T]]
 
 
-class _Beaten(Exception):  # noqa: N818 - the end of an attempt that came second
-    """Another attempt's answer has begun."""
+class _LostRace(Exception):  # noqa: N818 - control flow, not an error
+    """Another attempt's answer began first."""
 
 
 @dataclass(frozen=True)
 class _Outcome(Generic[T]):
-    """What the attempt that counts returned or raised."""
+    """The winning attempt's return value or error."""
 
     value: T | None = None
     error: Exception | None = None
@@ -44,17 +44,17 @@
 
 
 class _Call(Generic[T]):
-    """A first attempt and those beside it; at most one of them has claimed the call."""
+    """A first attempt and its hedges; at most one of them has claimed the call."""
 
-    def __init__(self, first: Attempt[T], beside: Attempt[T]) -> None:
+    def __init__(self, first: Attempt[T], hedge: Attempt[T]) -> None:
         self.outcome: _Outcome[T] | None = None
         self._first = first
-        self._beside = beside
+        self._hedge = hedge
         self._claimed_by: Attempt[T] | None = None
         self._scopes: dict[Attempt[T], trio.CancelScope] = {}
 
     async def run_first(self, scope: trio.CancelScope) -> None:
-        """Make the first attempt; the call ends with it unless another is being answered."""
+        """Make the first attempt; its end ends the call unless a hedge is being answered."""
         try:
             await self._run(self._first)
         except LogUnavailable as err:
@@ -63,54 +63,54 @@
         if self.outcome:
             scope.cancel()
 
-    async def run_beside(
+    async def run_hedges(
         self,
         scope: trio.CancelScope,
-        silent_s: float,
-        on_silent: Callable[[LogUnavailable | None], None],
-        pauses: Backoff,
+        hedge_after_s: float,
+        on_unresponsive: Callable[[LogUnavailable | None], None],
+        backoff: Backoff,
     ) -> None:
-        """Make attempts beside the first once it has been silent, until one is answered."""
-        await trio.sleep(silent_s)
+        """Make hedging attempts, one after another, once the first has been unanswered so long."""
+        await trio.sleep(hedge_after_s)
         if self._claimed_by is not None:
             return
-        on_silent(None)
+        on_unresponsive(None)
         while self._claimed_by is None and not self.outcome:
             try:
-                await self._run(self._beside)
+                await self._run(self._hedge)
             except LogUnavailable as err:
-                on_silent(err)
-                await trio.sleep(pauses.next_wait())
+                on_unresponsive(err)
+                await trio.sleep(backoff.next_wait())
         if self.outcome:
             scope.cancel()
 
     async def _run(self, attempt: Attempt[T]) -> None:
-        """Make an attempt and keep what became of it.
+        """Make an attempt and store its outcome.
 
         Raises
         ------
         LogUnavailable
-            It was not answered, and another attempt may be.
+            The attempt was not answered, but another one may be.
         """
         with trio.CancelScope() as scope:
             self._scopes[attempt] = scope
             try:
                 self.outcome = _Outcome(await attempt(lambda: self._claim(attempt)))
-            except _Beaten:
+            except _LostRace:
                 pass
             except Exception as err:
-                if self._is_open(attempt, err):
+                if self._is_still_open(attempt, err):
                     raise
                 self.outcome = _Outcome(error=err)
 
-    def _is_open(self, attempt: Attempt[T], err: Exception) -> bool:
-        """Return whether a failed attempt leaves the call to others."""
+    def _is_still_open(self, attempt: Attempt[T], err: Exception) -> bool:
+        """Return whether the call may still succeed through other attempts after this failure."""
         is_unanswered = isinstance(err, LogUnavailable) and not isinstance(err, EraRisen)
         return is_unanswered and self._claimed_by is not attempt
 
     def _claim(self, attempt: Attempt[T]) -> None:
         if self._claimed_by not in (None, attempt):
-            raise _Beaten
+            raise _LostRace
         self._claimed_by = attempt
         for other, scope in self._scopes.items():
             if other is not attempt:
@@ -119,41 +119,42 @@
 
 async def hedged(
     first: Attempt[T],
-    beside: Attempt[T],
-    silent_s: float,
-    on_silent: Callable[[LogUnavailable | None], None],
-    pauses: Backoff,
+    hedge: Attempt[T],
+    hedge_after_s: float,
+    on_unresponsive: Callable[[LogUnavailable | None], None],
+    backoff: Backoff,
 ) -> T:
-    """Return what the first attempt to be answered returns.
+    """Return the result of the first attempt whose answer begins.
 
     Parameters
     ----------
     first : Attempt
-        What it raises is raised, unless another attempt is being answered by then.
-    beside : Attempt
-        Made again and again while none is answered.
-    silent_s : float
-        For how long the first is alone.
-    on_silent : callable
-        Told when the first has been silent for so long, and of each failure beside it.
-    pauses : Backoff
-        Waits between two attempts beside the first.
+        Its error is raised unless a hedge is being answered by then.
+    hedge : Attempt
+        Repeated while no attempt is answered.
+    hedge_after_s : float
+        Time after which the first hedge is made.
+    on_unresponsive : callable
+        Called with None when that time has passed without an answer, and with the error of each
+        failed hedge.
+    backoff : Backoff
+        Waits between two hedges.
 
     Examples
     --------
     >>> from random import Random
-    >>> async def gone(claim: Claim) -> str:
+    >>> async def dead(claim: Claim) -> str:
     ...     await trio.sleep_forever()
-    >>> async def sound(claim: Claim) -> str:
+    >>> async def healthy(claim: Claim) -> str:
     ...     claim()
     ...     return "answer"
-    >>> pauses = Backoff(0.01, 0.02, Random(1))
-    >>> trio.run(hedged, gone, sound, 0.01, lambda err: None, pauses)
+    >>> backoff = Backoff(0.01, 0.02, Random(1))
+    >>> trio.run(hedged, dead, healthy, 0.01, lambda err: None, backoff)
     'answer'
     """
-    call: _Call[T] = _Call(first, beside)
+    call: _Call[T] = _Call(first, hedge)
     async with trio.open_nursery() as nursery:
         scope = nursery.cancel_scope
         nursery.start_soon(call.run_first, scope)
-        nursery.start_soon(call.run_beside, scope, silent_s, on_silent, pauses)
+        nursery.start_soon(call.run_hedges, scope, hedge_after_s, on_unresponsive, backoff)
     return call.outcome.unwrap()
--- a/railtide/journal/http_log.py
+++ b/railtide/journal/http_log.py
@@ -1,7 +1,7 @@
-"""The client of the log service over HTTP and JSON.
+"""Client of the log service over HTTP and JSON.
 
-A module of its own, like the other clients over httpx: routers on the platform do without it, and
-are 1.8 of 55 MB smaller for that (resident after the import).
+Like the other clients based on httpx, it is a separate module: routers on the platform don't need
+httpx, and not importing it saves 1.8 of 55 MB of resident memory.
 """
 
 from base64 import b64decode, b64encode
@@ -16,10 +16,10 @@
 __all__ = ["HttpLog", "open_http_log"]
 
 READ_MARGIN_S = 5.0
-"""Longest wait for a byte, beyond what a read asks for; how long a whole answer or append takes has
-no limit of its own, since it grows with its size."""
+"""Timeout for the next byte, in addition to the `wait_s` of a read. A whole answer or append has no
+time limit, since its duration grows with its size."""
 SEND_BYTES = 65_536
-"""Sent at once: httpx limits the time of each piece that it is given."""
+"""Chunk size of request bodies; httpx applies its timeout to each chunk."""
 
 
 class _WireRecord(msgspec.Struct):
@@ -34,15 +34,15 @@
 
 
 class HttpLog(LogClient):
-    """The log service over HTTP and JSON.
+    """Client of the log service over HTTP and JSON.
 
     Parameters
     ----------
     client : httpx.AsyncClient
-        Its base URL is the log service's.
+        Client whose base URL is that of the log service.
     timeout_s : float
-        Longest silence of the log, and longest time in which it takes nothing, beyond the `wait_s`
-        of a read.
+        Longest time without progress in sending or receiving, in addition to the `wait_s` of a
+        read.
     """
 
     def __init__(self, client: httpx.AsyncClient, timeout_s: float) -> None:
@@ -55,7 +55,7 @@
         answer = await self._call(
             "POST",
             f"/v1/streams/{stream}/records",
-            content=_pieces(body),
+            content=_chunks(body),
             headers={"content-length": str(len(body))},
         )
         return int(msgspec.json.decode(answer.content)["offset"])
@@ -74,9 +74,9 @@
         records = [LogRecord(r.offset, r.stamp, b64decode(r.data)) for r in page.records]
         return Page(records, page.head)
 
-    async def _call(self, method: str, path: str, **more: object) -> httpx.Response:
+    async def _call(self, method: str, path: str, **options: object) -> httpx.Response:
         try:
-            answer = await self._client.request(method, path, **more)
+            answer = await self._client.request(method, path, **options)
         except httpx.HTTPError as err:
             raise LogUnavailable(f"{type(err).__name__}: {err}") from err
         if answer.status_code == httpx.codes.GONE:
@@ -86,7 +86,7 @@
         return answer
 
 
-async def _pieces(body: bytes) -> AsyncIterator[bytes]:
+async def _chunks(body: bytes) -> AsyncIterator[bytes]:
     for at in range(0, len(body), SEND_BYTES):
         yield body[at : at + SEND_BYTES]
 
--- a/railtide/journal/keyed.py
+++ b/railtide/journal/keyed.py
@@ -1,10 +1,10 @@
-"""Keyed topics of the platform's store: records by key, the newest of each kept for good.
+"""Keyed topics of the platform's store, which keep the newest record of each key forever.
 
-A topic has numbered partitions; offsets order the records of one partition. An append may name
+A topic has numbered partitions; offsets order the records of one partition. An append may state
 the offset at which the partition must end, which makes it a compare-and-swap.
 
-A store may come back from a copy that is older than what it had acknowledged. It then tells of a
-new era: offsets, ends and records that were read in a former one say nothing about it.
+A store may be restored from a copy that lacks records it had acknowledged. It then states a new
+era: offsets, ends and records that were read in a former era are no longer valid.
 """
 
 from abc import ABC, abstractmethod
@@ -18,18 +18,18 @@
 
 
 class AppendConflict(JournalError):
-    """Others appended since: nothing was written.
+    """Another process appended to the partition in the meantime; nothing was written.
 
     Parameters
     ----------
     end : int
-        The partition's end now.
+        The partition's present end.
     """
 
     code = "append-conflict"
 
     def __init__(self, end: int) -> None:
-        super().__init__(f"the partition ends at {end}")
+        super().__init__(f"the partition now ends at offset {end}")
         self.end = end
 
 
@@ -49,11 +49,11 @@
     Attributes
     ----------
     end : int
-        Where the partition ended.
+        End offset of the partition.
     next_offset : int
-        After the last record that was read, whether it is among `records` or unreadable.
+        Offset after the last record that was read, including unreadable ones.
     unreadable : int
-        Records that another writer left and that are no key and value; they are passed over.
+        Number of skipped records: those of other writers that are not a key and a value.
     """
 
     records: list[KeyedRecord]
@@ -63,18 +63,18 @@
 
 
 class KeyedStore(ABC):
-    """A way to the keyed topics.
+    """Client of the keyed topics.
 
-    Each call raises `EraRisen` where it was sent in one era and not answered in it.
+    A call raises `EraRisen` if the era rose between its sending and its answer.
     """
 
     @property
     def era(self) -> int | None:
-        """The era of the newest answer; None for a store that tells none, and before the first."""
+        """The era of the latest answer; None before the first, and for a store without eras."""
         return None
 
     def on_era_rise(self, listener: Callable[[], None]) -> None:  # noqa: B027 - not each has eras
-        """Have a listener told of each rise of the era; without eras there is none."""
+        """Register a listener that is called on each rise of the era; a no-op without eras."""
 
     @abstractmethod
     async def newest(
@@ -110,7 +110,7 @@
         LogUnavailable
             No answer.
         RecordsExpired
-            The store does not keep `start` any more.
+            The store no longer keeps `start`.
         """
 
     @abstractmethod
@@ -128,6 +128,5 @@
         AppendConflict
             The partition does not end at `expected_end`.
         LogUnavailable
-            The records may or may not be there, or come to be there as long as the condition
-            holds.
+            The records may have been written, or may still be written while the condition holds.
         """
--- a/railtide/journal/read_progress.py
+++ b/railtide/journal/read_progress.py
@@ -1,4 +1,4 @@
-"""How far an answer of a store has come: where its partition ended, and its bytes."""
+"""Progress of reading one answer of a store."""
 
 from collections.abc import Callable
 
@@ -15,21 +15,21 @@
     Parameters
     ----------
     on_begun : callable, optional
-        Told once the answer has begun and its partition's end is known. What it raises ends the
-        read.
+        Called once the answer has begun and its partition's end is known. An exception that it
+        raises ends the read.
     first_only : bool, optional
-        Whether the read ends with the first record that has come whole.
+        Whether the read ends with the first complete record.
     on_unresponsive : callable, optional
-        Told why the store counts as silent while the read goes on.
+        Called with the reason when the store counts as unresponsive although the read continues.
 
     Attributes
     ----------
     end : int or None
-        Where the partition ended when the store answered.
+        End offset of the partition when the store answered.
     size : int or None
-        Bytes of the answer, if it says so.
+        Size of the answer in bytes, if known.
     received : int
-        Bytes that have come.
+        Bytes received so far.
     began_at : float or None
         Trio time at which the answer began.
     """
@@ -50,9 +50,9 @@
         self._on_begun = on_begun
 
     def begin(self, end: int | None, size: int | None, initial: int = 0) -> None:
-        """Take the beginning of an answer, or of its next page, and the bytes that came with it.
+        """Record the start of an answer, or of its next page, and the bytes received with it.
 
-        These tell no rate: they had all the time before.
+        These initial bytes don't count for the rate, since they arrived before the start.
         """
         self.end = end
         self.size = size
@@ -62,13 +62,13 @@
         self._on_begun(self)
 
     def add_received(self, count: int) -> None:
-        """Record that some bytes more have come."""
+        """Record that `count` further bytes were received."""
         self.received += count
 
     def remaining_s(self) -> float | None:
-        """Return about how many seconds are left, None while too little is known."""
-        moved = self.received - self._initial
-        if self.began_at is None or not self.size or not moved:
+        """Return the estimated remaining time in seconds; None while too little is known."""
+        counted = self.received - self._initial
+        if self.began_at is None or not self.size or not counted:
             return None
         took_s = trio.current_time() - self.began_at
-        return max(0.0, self.size - self.received) * took_s / moved
+        return max(0.0, self.size - self.received) * took_s / counted
--- a/railtide/journal/state.py
+++ b/railtide/journal/state.py
@@ -1,4 +1,4 @@
-"""The state that every reader of the log folds to."""
+"""The state that every reader obtains by folding the log."""
 
 from dataclasses import dataclass, field
 
@@ -11,7 +11,7 @@
 
 
 class HolderStatus:
-    """Stages in the life of a holder."""
+    """Stages of a holder's life."""
 
     OPEN = "open"
     LEAVING = "leaving"
@@ -21,7 +21,10 @@
 
 @dataclass
 class HolderState:
-    """A writer of the log, and the verdicts that it has not yet acknowledged."""
+    """A writer of the log, and the verdicts that it has not acknowledged yet.
+
+    A checkpoint stores the fields by name: renaming one makes older checkpoints unreadable.
+    """
 
     instance: str
     failure_domain: str
@@ -35,10 +38,20 @@
 
 @dataclass
 class State:
-    """All that the log says up to `offset` (the last one folded, -1 for none).
+    """The state after folding the log up to `offset` (-1 before the first record).
+
+    A checkpoint stores the fields by name: renaming one makes older checkpoints unreadable.
 
-    `stamp` is the log's own time in milliseconds at that offset, never decreasing; `began` is
-    that of the first record.
+    Attributes
+    ----------
+    stamp : int
+        The log's time in milliseconds at `offset`; never decreases.
+    began : int
+        The log's time in milliseconds at the first record.
+    checkpoint_offset : int
+        Offset of the newest checkpoint that a holder has reported as written.
+    repeats, gaps, skipped : int
+        Entries ignored as duplicates, as ahead of their sequence, and as of unknown kinds.
     """
 
     offset: int = -1
--- a/railtide/journal/writer.py
+++ b/railtide/journal/writer.py
@@ -1,4 +1,4 @@
-"""A holder's own sequence of entries, resent until the log's verdict on each is known."""
+"""A holder's sequence of entries, each kept for resending until its verdict is known."""
 
 from collections.abc import Callable
 
@@ -10,7 +10,7 @@
 
 
 class Submission:
-    """One entry on its way; `verdict` is set once the fold has decided."""
+    """A submitted entry; `verdict` is set once the fold has decided on it."""
 
     def __init__(self, record: Record) -> None:
         self.record = record
@@ -25,26 +25,26 @@
         return self.verdict is not None
 
     def resolve(self, verdict: Verdict) -> None:
-        """Record the verdict and wake those who wait."""
+        """Set the verdict, wake waiting tasks and call the callbacks."""
         self.verdict = verdict
         self._resolved.set()
         for callback in self._callbacks:
             callback(verdict)
 
     def add_done_callback(self, callback: Callable[[Verdict], None]) -> None:
-        """Call back with the verdict; it must not block."""
+        """Call `callback` with the verdict once it is known; it must not block."""
         if self.verdict:
             callback(self.verdict)
         else:
             self._callbacks.append(callback)
 
     async def wait(self) -> Verdict:
-        """Return the verdict, however long it takes."""
+        """Wait for the verdict and return it."""
         await self._resolved.wait()
         return self.verdict
 
     async def wait_at_most(self, seconds: float) -> Verdict | None:
-        """Return the verdict, or None if it is not there within `seconds`."""
+        """Return the verdict, or None if it is not known within `seconds`."""
         with trio.move_on_after(seconds):
             await self._resolved.wait()
         return self.verdict
@@ -87,7 +87,7 @@
         self._submissions_by_seq: dict[int, Submission] = {}
 
     def submit(self, record: Record, traceparent: str = "") -> Submission:
-        """Put a record after all earlier ones and return its submission."""
+        """Append a record to the sequence and return its submission."""
         self._last_seq += 1
         entry = make_entry(self.holder, self._last_seq, self._acked, record)
         submission = Submission(record)
@@ -102,7 +102,7 @@
         return list(self._entries_by_seq.values())
 
     def apply_verdict(self, verdict: Verdict) -> Submission | None:
-        """Resolve the submission of a verdict; None for one already settled."""
+        """Resolve and return the submission of a verdict; None if it was resolved before."""
         submission = self._submissions_by_seq.pop(verdict.seq, None)
         if submission is None:
             return None
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -1668,14 +1668,14 @@
     Mutant(
         "nothing-is-asked-beside-a-call-that-is-silent",
         "journal/hedge.py",
-        "                await self._run(self._beside)\n",
+        "                await self._run(self._hedge)\n",
         "                await trio.sleep_forever()\n",
         (HEDGE, f"{NARROW}::TestSilence"),
     ),
     Mutant(
         "two-answers-of-one-call-are-read",
         "journal/hedge.py",
-        "        if self._claimed_by not in (None, attempt):\n            raise _Beaten\n",
+        "        if self._claimed_by not in (None, attempt):\n            raise _LostRace\n",
         "",
         (HEDGE,),
     ),
