--- a/railtide/edge/peers.py
+++ b/railtide/edge/peers.py
@@ -25,8 +25,8 @@
 
     def gone(self, era: int, opened: int) -> int:
         """See `Peers.gone`."""
-        return self._roster.count_missing(era, opened)
+        return self._roster.lost_routers(era, opened)
 
     def knows_former(self, era: int, opened: int) -> bool:
         """See `Peers.knows_former`."""
-        return self._roster.has_survivor(era, opened)
+        return self._roster.heard_from_former(era, opened)
--- a/railtide/journal/keyed.py
+++ b/railtide/journal/keyed.py
@@ -82,8 +82,8 @@
     ) -> KeyedPage:
         """Return the newest record of each key.
 
-        The pages after it are no snapshot: the records from the page's `end` on are to be read
-        after it. `progress` is told how far the answer has come.
+        The page is not a snapshot: records from its `end` on must be read afterwards. `progress`
+        receives the progress of the answer.
 
         Raises
         ------
@@ -102,8 +102,8 @@
     ) -> KeyedPage:
         """Return records from `start` on, waiting up to `wait_s` seconds for the first.
 
-        Of an answer that breaks off, the records that came whole are returned. `progress` is told
-        where the partition ends once an answer begins, and how far it has come.
+        If an answer breaks off, its complete records are returned. `progress` receives the
+        partition's end once an answer begins, and the progress of the answer.
 
         Raises
         ------
--- a/railtide/journal/writer.py
+++ b/railtide/journal/writer.py
@@ -58,20 +58,22 @@
     holder : str
         The incarnation's id, never used again.
     on_entry : callable
-        Told of each new entry and its W3C traceparent at once; it must not block.
+        Called at once with each new entry and its W3C traceparent; it must not block.
 
     Attributes
     ----------
+    fenced, closed : bool
+        Whether a verdict has shown that the holder is fenced; whether its owner has closed it.
     pending_bytes : int
         Size of the records without a verdict.
-    proved_at : float
-        Trio time at which the latest entry was written whose verdict says that the holder was
+    unfenced_at : float
+        Trio time at which the latest entry was submitted whose verdict shows that the holder was
         not fenced.
 
     Notes
     -----
-    A repeat is harmless: the fold takes each number once and in order. So whoever carries the
-    entries may send all that are pending again after any doubt, by any way to the log.
+    Resending is idempotent: the fold applies each sequence number once and in order. After any
+    failure, all pending entries may be sent again, over any connection to the log.
     """
 
     def __init__(self, holder: str, on_entry: Callable[[Entry, str], None]) -> None:
--- a/railtide/membership/roster.py
+++ b/railtide/membership/roster.py
@@ -399,7 +399,7 @@
             return 0
         return member.read[partition]
 
-    def count_missing(self, era: int, last_opened: int) -> int:
+    def lost_routers(self, era: int, last_opened: int) -> int:
         """Return how many routers may have held budgets and were not heard in an era.
 
         A process that lived while grants were made knows who else did. Others know those that the
@@ -421,13 +421,13 @@
         unknown = {name for name, _ in said - lived_through} - known
         return len(self._lived_at.keys() - said - self._left()) + len(unknown)
 
-    def has_survivor(self, era: int, last_opened: int) -> bool:
+    def heard_from_former(self, era: int, last_opened: int) -> bool:
         """Return whether one that callers were sent to while grants were made was heard in an era.
 
         Parameters
         ----------
         era, last_opened : int
-            See `count_missing`.
+            See `lost_routers`.
         """
         lives = self._lives()
         return any(
--- a/railtide/membership/tests/test_roster_eras.py
+++ b/railtide/membership/tests/test_roster_eras.py
@@ -102,7 +102,10 @@
             await trio.sleep(SETTLED_S)
             store.roll_back(store.copy())
             await trio.sleep(2.0)
-            assert (made.count_missing(2, last_opened=1), made.has_survivor(2, last_opened=1)) == (
+            assert (
+                made.lost_routers(2, last_opened=1),
+                made.heard_from_former(2, last_opened=1),
+            ) == (
                 0,
                 True,
             )
@@ -118,7 +121,10 @@
             stopped.cancel()
             store.roll_back(store.copy())
             await trio.sleep(2.0)
-            assert (made.count_missing(2, last_opened=1), made.has_survivor(2, last_opened=1)) == (
+            assert (
+                made.lost_routers(2, last_opened=1),
+                made.heard_from_former(2, last_opened=1),
+            ) == (
                 1,
                 True,
             )
@@ -135,7 +141,7 @@
             store.roll_back(store.copy())
             await start(nursery, reading(store, "b", life="2"))
             await trio.sleep(2.0)
-            assert made.count_missing(2, last_opened=1) == 1
+            assert made.lost_routers(2, last_opened=1) == 1
             nursery.cancel_scope.cancel()
 
     async def test_process_that_nobody_had_heard_of_is(self, autojump_clock) -> None:
@@ -148,7 +154,7 @@
             store.roll_back(store.copy())
             await start(nursery, reading(store, "b"))
             await trio.sleep(2.0)
-            assert made.count_missing(2, last_opened=1) == 1
+            assert made.lost_routers(2, last_opened=1) == 1
             nursery.cancel_scope.cancel()
 
     async def test_router_that_had_left_is_not(self, autojump_clock) -> None:
@@ -164,7 +170,7 @@
             await trio.sleep(2.0)
             store.roll_back(copy)
             await trio.sleep(2.0)
-            assert made.count_missing(2, last_opened=1) == 0
+            assert made.lost_routers(2, last_opened=1) == 0
             nursery.cancel_scope.cancel()
 
     async def test_one_that_starts_in_the_era_misses_all_that_the_copy_shows(
@@ -182,8 +188,8 @@
             await start(nursery, fresh)
             await trio.sleep(2.0)
             assert (
-                fresh.count_missing(2, last_opened=1),
-                fresh.has_survivor(2, last_opened=1),
+                fresh.lost_routers(2, last_opened=1),
+                fresh.heard_from_former(2, last_opened=1),
             ) == (2, False)
             nursery.cancel_scope.cancel()
 
@@ -200,8 +206,8 @@
             await start(nursery, fresh)
             await trio.sleep(2.0)
             assert (
-                fresh.count_missing(2, last_opened=1),
-                fresh.has_survivor(2, last_opened=1),
+                fresh.lost_routers(2, last_opened=1),
+                fresh.heard_from_former(2, last_opened=1),
             ) == (1, False)
             nursery.cancel_scope.cancel()
 
@@ -223,7 +229,7 @@
             store.roll_back(copy)
             await trio.sleep(2.0)
             assert (
-                fresh[0].count_missing(3, last_opened=1),
-                fresh[0].has_survivor(3, last_opened=1),
+                fresh[0].lost_routers(3, last_opened=1),
+                fresh[0].heard_from_former(3, last_opened=1),
             ) == (2, False)
             nursery.cancel_scope.cancel()
