--- a/railtide/membership/__init__.py
+++ b/railtide/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Membership: instances, upstreams, and the addresses that callers are told."""
+"""Membership: instances, routers, upstreams, and the addresses advertised to callers."""
--- a/railtide/membership/addresses.py
+++ b/railtide/membership/addresses.py
@@ -1,4 +1,4 @@
-"""Which instances a caller of an account is told to use. Pure."""
+"""Selects the routers that callers of an account are sent to. Free of side effects."""
 
 import re
 from collections.abc import Sequence
@@ -9,12 +9,12 @@
 __all__ = ["RouterEndpoint", "endpoints_for", "is_address", "rendezvous_order"]
 
 ADDRESS = re.compile(r"[A-Za-z0-9._-]+:(\d{1,5})", re.ASCII)
-MOST_PORT = 65_535
+MAX_PORT = 65_535
 
 
 @dataclass(frozen=True)
 class RouterEndpoint:
-    """A router that callers may be sent to."""
+    """Name, address and failure domain of a router."""
 
     name: str
     address: str
@@ -22,23 +22,23 @@
 
 
 def is_address(text: str) -> bool:
-    """Return whether a text is host:port, as a process can be reached at.
+    """Return whether a text is a host and a valid port, separated by a colon.
 
     Examples
     --------
     >>> [is_address(text) for text in ("10.0.0.9:80", "nonsense", "h:99999999", ":80", "h:0")]
     [True, False, False, False, False]
     """
-    found = ADDRESS.fullmatch(text)
-    return found is not None and 0 < int(found[1]) <= MOST_PORT
+    match = ADDRESS.fullmatch(text)
+    return match is not None and 0 < int(match[1]) <= MAX_PORT
 
 
 def rendezvous_order(key: str, names: Sequence[str]) -> list[str]:
-    """Return the names by their highest random weight for `key`, the best first.
+    """Return the names by rendezvous hashing for `key`, highest weight first.
 
     Notes
     -----
-    A name that comes or goes moves only the keys that it wins or loses.
+    Adding or removing a name only moves the keys that it wins or loses.
 
     References
     ----------
@@ -61,19 +61,20 @@
 def endpoints_for(
     account: str, endpoints: Sequence[RouterEndpoint], count: int
 ) -> list[RouterEndpoint]:
-    """Return up to `count` endpoints for an account, each failure domain once before any twice.
+    """Return up to `count` endpoints for an account, from as many failure domains as possible.
 
-    Few endpoints for an account mean few grants of its budget, so that less of it is in hands.
+    With few routers per account, fewer of them hold an allocation of its budget, and less of the
+    budget is allocated but unused.
     """
     by_name = {endpoint.name: endpoint for endpoint in endpoints}
     ordered = [by_name[name] for name in rendezvous_order(account, list(by_name))]
     chosen: list[RouterEndpoint] = []
     while ordered and len(chosen) < count:
         used = {endpoint.failure_domain for endpoint in chosen}
-        fresh = [endpoint for endpoint in ordered if endpoint.failure_domain not in used]
-        if not fresh:
+        unused = [endpoint for endpoint in ordered if endpoint.failure_domain not in used]
+        if not unused:
             chosen += ordered[: count - len(chosen)]
             break
-        chosen.append(fresh[0])
-        ordered.remove(fresh[0])
+        chosen.append(unused[0])
+        ordered.remove(unused[0])
     return chosen
--- a/railtide/membership/drained_domains.py
+++ b/railtide/membership/drained_domains.py
@@ -1,8 +1,8 @@
 """The failure domains that the operator has ordered to be drained.
 
-Nothing new is sent to the upstreams of a drained failure domain; what runs there goes on. An order
-holds until it is taken back, whatever else becomes of the store: one that is missing from a store
-that came back older may be written again, and counts until the time for that has passed.
+Upstreams in a drained failure domain get no new requests; running requests continue. An order holds
+until it is withdrawn. After a rollback of the store, an order that is missing may be written again,
+so it stays in force until the time for that has passed.
 """
 
 import math
@@ -17,31 +17,31 @@
 
 
 class DrainedDomains:
-    """Keeps the orders and tells when the drained domains change.
+    """Keeps the drain orders and reports changes.
 
     Parameters
     ----------
     on_change : callable
-        Told of all drained domains, and of those whose drain has just ended.
+        Called with all drained domains and those whose drain has just ended.
 
     Attributes
     ----------
     names : frozenset of str
-        Failure domains that are drained now.
+        Failure domains that are drained at present.
     """
 
     def __init__(self, on_change: Callable[[frozenset[str], frozenset[str]], None]) -> None:
         self.names: frozenset[str] = frozenset()
         self._on_change = on_change
         self._missing_until: dict[str, float] = {}
-        self._copy_until = -math.inf
+        self._rollback_until = -math.inf
 
     def note_rise(self) -> None:
-        """Record that the store came back older: orders of the lost seconds may be missing."""
-        self._copy_until = trio.current_time() + RETURN_GRACE_S
+        """Handle a rollback of the store, from which recent orders may be missing."""
+        self._rollback_until = trio.current_time() + RETURN_GRACE_S
 
     def put(self, domain: str) -> None:
-        """Take an order to drain a failure domain."""
+        """Process an order to drain a failure domain."""
         if not domain:
             logger.error("drain-without-a-domain")
             return
@@ -50,21 +50,24 @@
             self._set(self.names | {domain})
 
     def remove(self, domain: str) -> None:
-        """Take the end of an order."""
+        """Process the withdrawal of an order."""
         self._missing_until.pop(domain, None)
         if domain in self.names:
             self._set(self.names - {domain})
 
     def retain(self, domains: set[str]) -> None:
-        """Take all orders that there are; one that is missing was taken back, or is in no copy."""
+        """Process the complete set of orders.
+
+        A missing order was withdrawn, or was lost by a rollback of the store.
+        """
         for domain in self.names - domains:
-            if trio.current_time() < self._copy_until:
-                self._missing_until.setdefault(domain, self._copy_until)
+            if trio.current_time() < self._rollback_until:
+                self._missing_until.setdefault(domain, self._rollback_until)
             else:
                 self.remove(domain)
 
     def apply_pending(self) -> None:
-        """End the orders that were not written again in time."""
+        """End the orders that were missing after a rollback and not written again in time."""
         now = trio.current_time()
         for domain in [name for name, until in self._missing_until.items() if now >= until]:
             self.remove(domain)
--- a/railtide/membership/http_instance_list.py
+++ b/railtide/membership/http_instance_list.py
@@ -1,4 +1,4 @@
-"""The client of the platform's instance list over HTTP and JSON."""
+"""Client of the platform's instance list over HTTP and JSON."""
 
 import httpx
 import msgspec
@@ -12,7 +12,7 @@
 
 
 class HttpInstanceList(InstanceList):
-    """The instance list over HTTP and JSON."""
+    """Client of the instance list over HTTP and JSON."""
 
     def __init__(self, client: httpx.AsyncClient) -> None:
         self._client = client
--- a/railtide/membership/identity.py
+++ b/railtide/membership/identity.py
@@ -1,4 +1,4 @@
-"""Who a process is."""
+"""Identity of a process in the fleet."""
 
 from dataclasses import dataclass
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class Identity:
-    """A process's instance, failure domain and address, and an incarnation that no other has."""
+    """A process's instance, failure domain and address, and its unique incarnation."""
 
     instance: str
     failure_domain: str
@@ -25,7 +25,7 @@
     incarnation: str
 
     def holder(self, role: str, number: int) -> str:
-        """Return the id of this process's holder of that number.
+        """Return the id of this process's holder with the given role and number.
 
         Examples
         --------
--- a/railtide/membership/instances.py
+++ b/railtide/membership/instances.py
@@ -1,4 +1,4 @@
-"""The platform's instance list: how it is read, and how its lag is borne."""
+"""The platform's instance list, and merging its possibly outdated answers with what is known."""
 
 from abc import ABC, abstractmethod
 from dataclasses import dataclass
@@ -15,31 +15,32 @@
 
 
 class InstanceState(StrEnum):
-    """What the platform's list says of an instance."""
+    """State of an instance in the platform's list."""
 
     LIVE = "live"
     LEAVING = "leaving"
 
 
 class Instance(msgspec.Struct, frozen=True):
-    """One line of the platform's list.
+    """One entry of the platform's list.
 
     Attributes
     ----------
     name, incarnation : str
-        Together they name one life of an instance.
+        Together they identify one run of an instance's process.
     pool : str
         For an upstream, the pool (of one model or service) that it belongs to.
     slots : int
         For an upstream, how many requests one router may have open on it.
     born : int
-        When this life began, Unix milliseconds; 0 if it is not told.
+        Start time of this incarnation, Unix milliseconds; 0 if unknown.
     seq : int
-        Rises with each record that an upstream writes in one life; 0 if it is not told.
+        Rises with each record that one incarnation of an upstream writes; 0 if unknown.
     cold_s : float
-        For an upstream, how much longer it bears only a few requests, as of its record.
+        For an upstream, the remaining warm-up time as of its record, in which it can serve only few
+        requests.
     warm_at : float
-        For an upstream, the trio time up to which that is so; 0 for never.
+        For an upstream, the trio time at which the warm-up ends; 0 if there is none.
     """
 
     name: str
@@ -57,7 +58,7 @@
 
 
 class InstanceList(ABC):
-    """A way to the platform's instance list."""
+    """Client of the platform's instance list."""
 
     @abstractmethod
     async def fetch(self) -> list[Instance]:
@@ -66,36 +67,38 @@
         Raises
         ------
         InstanceListUnavailable
-            No answer, or one that can't be read.
+            No answer, or an unreadable one.
         """
 
 
 @dataclass(frozen=True)
-class _Life:
+class _InstanceKey:
     name: str
     incarnation: str
 
 
 def merge_instances(known: list[Instance], fetched: list[Instance]) -> list[Instance]:
-    """Return the fetched list with each leaving made sticky.
+    """Return the fetched list with the leaving state made sticky.
 
     Parameters
     ----------
     known : list of Instance
-        What was believed before.
+        The list known before.
     fetched : list of Instance
         The platform's answer, which may be older than what is known.
 
     Returns
     -------
     list of Instance
-        An instance once leaving stays so for that incarnation.
+        The fetched instances; an incarnation that was leaving before is still leaving.
     """
-    leaving = {_Life(i.name, i.incarnation) for i in known if i.state is InstanceState.LEAVING}
+    leaving = {
+        _InstanceKey(i.name, i.incarnation) for i in known if i.state is InstanceState.LEAVING
+    }
     return [
         (
             msgspec.structs.replace(i, state=InstanceState.LEAVING)
-            if _Life(i.name, i.incarnation) in leaving
+            if _InstanceKey(i.name, i.incarnation) in leaving
             else i
         )
         for i in fetched
--- a/railtide/membership/roster.py
+++ b/railtide/membership/roster.py
@@ -1,9 +1,9 @@
-"""The roster: which routers of this system live, kept as one record each in a keyed topic.
+"""The roster: the live routers of the fleet, each with one record in a keyed topic.
 
-Each router writes its record at an interval. A reader believes a router alive until its record
-has not moved for some intervals by the reader's own steady clock, counted only while the store
-is heard: a store that is away makes nobody dead. A store that comes back older shows former records
-of the same lives, which say nothing of now.
+Each router writes its record periodically as a heartbeat. A reader considers a router alive until
+its record has not changed for several intervals, measured on the reader's monotonic clock and only
+while the store is reachable: an outage of the store makes no router count as dead. After a rollback
+the store shows older records of the same processes, which are no sign of life.
 """
 
 import math
@@ -31,23 +31,23 @@
 
 __all__ = ["Member", "Roster", "RosterOptions"]
 
-MOST_RATE = 1e9
-"""Requests a second beyond which a router's figures are no router's."""
-MOST_BEAT_S = 3600.0
-"""Time between two records beyond which nobody could tell whether their writer lives."""
-COPY_S = 20.0
-"""How long after a rise of the store's era a record may be one of its copy: the longest history on
-the users' sheets."""
-MOST_LIMITS = 64
-"""Upstreams with a limit that one record tells of."""
-NAMED_AGE_S = 0.2
-"""How long a choice of routers is kept: each caller's question would else weigh them all anew, and
-records come once a second."""
+MAX_RATE_PER_S = 1e9
+"""Requests a second; a record with a higher rate is not a router's."""
+MAX_HEARTBEAT_INTERVAL_S = 3600.0
+"""A record with a longer interval is rejected: the loss of its writer could not be noticed."""
+ROLLBACK_WINDOW_S = 20.0
+"""How long after a rise of the store's era a record may come from the restored copy: the longest
+history that the users' fault scenarios lose."""
+MAX_LIMITS = 64
+"""Upstream limits reported in one record."""
+SELECTION_CACHE_S = 0.2
+"""How long a selection of routers is cached. Records arrive once a second; without the cache each
+caller's request for addresses would evaluate all routers again."""
 
 
 @dataclass(frozen=True)
 class RosterOptions:
-    """How routers find one another, in seconds.
+    """Intervals and timeouts of the roster, in seconds.
 
     Attributes
     ----------
@@ -55,15 +55,15 @@
     heartbeat_interval_s : float
         Time between two records of a router.
     dead_after_s : float
-        A router whose record has not moved for so long is not named to callers. Three beats and
-        a slow answer of the store. For one that beats more slowly, as many of its own beats.
+        A router whose record has not changed for so long is not advertised to callers: three
+        heartbeats and a slow answer of the store. Scaled up for routers with longer intervals.
     idle_heartbeat_interval_s : float
-        The same of a router that callers are not sent to. Its loss is noticed later, and costs
-        nobody an answer.
+        Time between two records of a router that is not advertised. Its loss is noticed later but
+        affects no caller.
     read_pause_s : float
-        Least time between two reads of the topic.
+        Pause between two reads of the topic.
     selection : SelectionOptions
-        How many routers are named to callers.
+        How many routers are advertised to callers.
     """
 
     topic: str = "keyed.railtide-roster"
@@ -75,20 +75,25 @@
 
 
 class Member(msgspec.Struct, frozen=True, array_like=True):
-    """A router's record; an empty address says that it is leaving.
+    """A router's record; an empty address means that the router is leaving.
+
+    The order of the fields is the wire format.
 
     Attributes
     ----------
+    heartbeat_seq : int
+        Rises with each record of one process.
     capacity, load : float
-        Requests a second that it can carry, and that it was asked lately.
+        Requests a second that the router can carry, and that it received lately.
     heartbeat_interval_s : float
-        How long after this record its next one is due at the latest.
+        Time until its next record at the latest.
     outdated : bool
-        Whether it knows of a newer configuration and did not get it in time.
+        Whether it knows of a newer configuration that it did not get in time.
     era, first_era : int
-        The store's era as it wrote this, and as its process wrote its first record; 0 for none.
+        The store's era when this record, and when its process's first record, was written; 0 for
+        none.
     read : tuple of int
-        Up to which offset it has read each partition of the ledgers in that era.
+        Offset up to which it has read each partition of the ledgers in that era.
     limits : tuple of LimitNews
         What answers to it lately stated of upstreams' limits.
     """
@@ -97,9 +102,9 @@
     address: str
     failure_domain: str
     heartbeat_seq: int
-    capacity: Annotated[float, msgspec.Meta(gt=0, le=MOST_RATE)] = 1.0
-    load: Annotated[float, msgspec.Meta(ge=0, le=MOST_RATE)] = 0.0
-    heartbeat_interval_s: Annotated[float, msgspec.Meta(gt=0, le=MOST_BEAT_S)] = 1.0
+    capacity: Annotated[float, msgspec.Meta(gt=0, le=MAX_RATE_PER_S)] = 1.0
+    load: Annotated[float, msgspec.Meta(ge=0, le=MAX_RATE_PER_S)] = 0.0
+    heartbeat_interval_s: Annotated[float, msgspec.Meta(gt=0, le=MAX_HEARTBEAT_INTERVAL_S)] = 1.0
     outdated: bool = False
     era: Annotated[int, msgspec.Meta(ge=0)] = 0
     first_era: Annotated[int, msgspec.Meta(ge=0)] = 0
@@ -108,27 +113,27 @@
 
 
 def _member_of(value: bytes) -> Member:
-    """Return the member in a record.
+    """Decode a router's record.
 
     Raises
     ------
     msgspec.DecodeError, RecursionError
-        Another writer's, which names no router.
+        The record does not describe a router; another program may have written it.
     """
     member = msgspec.msgpack.decode(value, type=Member)
     if member.address and not is_address(member.address):
-        raise msgspec.ValidationError(f"no address: {member.address!r}")
+        raise msgspec.ValidationError(f"not a host:port address: {member.address!r}")
     return member
 
 
 def _is_former(member: Member, known: Member) -> bool:
-    """Return whether a record is one that its router wrote before one that is known."""
+    """Return whether the same process wrote `member` before the known record."""
     return member.incarnation == known.incarnation and member.heartbeat_seq < known.heartbeat_seq
 
 
 @dataclass
-class _Heard:
-    """A router's last record, when it was read, and what it makes the router a candidate for."""
+class _Sighting:
+    """A router's latest record, the trio time at which it was read, and the resulting candidate."""
 
     member: Member
     at: float
@@ -136,7 +141,7 @@
 
 
 class Roster:
-    """Announces this router and knows the others.
+    """Announces this router in the roster and follows the other routers.
 
     Parameters
     ----------
@@ -144,22 +149,22 @@
     instance : str
         Name of this router's instance.
     member : Member
-        Its first record.
+        Template of this router's records.
     options : RosterOptions
     rng : random.Random
     load_of : callable, optional
-        Returns the requests a second that this router was asked lately.
+        Returns the requests a second that this router received lately.
     is_outdated : callable, optional
-        Returns whether this router's configuration is older than it may be.
+        Returns whether this router has missed a newer configuration for too long.
     read_offsets : callable, optional
-        Returns up to which offset this router has read each partition of the ledgers.
+        Returns the offset up to which this router has read each partition of the ledgers.
     limit_news : callable, optional
         Returns what this router tells of upstreams' limits.
 
     Attributes
     ----------
     on_update : callable
-        Told each time records of others were taken.
+        Called each time records were processed.
     on_limits : callable
         Told what another router tells of upstreams' limits.
     """
@@ -180,60 +185,62 @@
         self.on_limits: Callable[[tuple[LimitNews, ...]], None] = lambda news: None
         self._limit_news = limit_news
         self._read_offsets = read_offsets
-        self._lived_at: dict[tuple[str, str], float] = {}
-        self._named_at_rise: dict[tuple[str, str], float] = {}
+        self._alive_at_rise: dict[tuple[str, str], float] = {}
+        self._advertised_at_rise: dict[tuple[str, str], float] = {}
         self._store = store
         self._instance = instance
         self._member = member
         self._options = options
-        self._heard_by_instance: dict[str, _Heard] = {}
+        self._sightings_by_instance: dict[str, _Sighting] = {}
         self._unreadable: set[str] = set()
         feed_options = FeedOptions(
             wait_s=options.heartbeat_interval_s, pause_s=options.read_pause_s
         )
-        self._feed = Feed(store, options.topic, feed_options, rng, self._take)
+        self._feed = Feed(store, options.topic, feed_options, rng, self._process_records)
         self._load_of = load_of
         self._is_outdated = is_outdated
-        self._beat_at = -math.inf
-        self._named: list[RouterEndpoint] = []
+        self._written_at = -math.inf
+        self._advertised: list[RouterEndpoint] = []
         self._traffic = RouterTraffic()
-        self._named_at = -math.inf
+        self._selected_at = -math.inf
         self._announcing = True
         self._writing = trio.Lock()
         self._announced_outdated = False
-        self._copy_until = -math.inf
+        self._rollback_until = -math.inf
         self._risen = trio.Event()
         store.on_era_rise(self._note_rise)
 
     async def run(self, is_ready: Callable[[], bool]) -> None:
-        """Announce this router from when it is ready, and follow the others, for ever."""
+        """Follow the other routers forever, and announce this one while it is ready."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._feed.run)
-            nursery.start_soon(self._run_beats, is_ready)
+            nursery.start_soon(self._run_heartbeats, is_ready)
 
-    async def _run_beats(self, is_ready: Callable[[], bool]) -> None:
+    async def _run_heartbeats(self, is_ready: Callable[[], bool]) -> None:
         while True:
-            if is_ready() and self._is_beat_due():
-                await self._beat()
+            if is_ready() and self._is_heartbeat_due():
+                await self._write_if_announcing()
             with trio.move_on_after(self._options.heartbeat_interval_s):
                 await self._risen.wait()
                 self._risen = trio.Event()
 
     def _note_rise(self) -> None:
-        """Record that the store came back older: this router's record there is a former one."""
+        """Handle a rollback of the store, after which it shows an old record of this router."""
         now = trio.current_time()
-        self._lived_at = _recent(self._lived_at, now)
-        self._lived_at |= {self._life_of(endpoint): now for endpoint in self.live()}
-        self._named_at_rise = _recent(self._named_at_rise, now)
-        self._named_at_rise |= {self._life_of(endpoint): now for endpoint in self.advertised()}
-        self._copy_until = now + COPY_S
-        self._beat_at = -math.inf
+        self._alive_at_rise = _recent(self._alive_at_rise, now)
+        self._alive_at_rise |= {self._process_of(endpoint): now for endpoint in self.live()}
+        self._advertised_at_rise = _recent(self._advertised_at_rise, now)
+        self._advertised_at_rise |= {
+            self._process_of(endpoint): now for endpoint in self.advertised()
+        }
+        self._rollback_until = now + ROLLBACK_WINDOW_S
+        self._written_at = -math.inf
         self._risen.set()
 
-    def _is_beat_due(self) -> bool:
+    def _is_heartbeat_due(self) -> bool:
         if self._is_outdated() != self._announced_outdated:
             return True
-        since = trio.current_time() - self._beat_at
+        since = trio.current_time() - self._written_at
         return since > self._interval_s() - self._options.heartbeat_interval_s / 2
 
     def _interval_s(self) -> float:
@@ -243,7 +250,7 @@
             else self._options.idle_heartbeat_interval_s
         )
 
-    async def _beat(self) -> None:
+    async def _write_if_announcing(self) -> None:
         async with self._writing:
             if self._announcing:
                 await self._write()
@@ -258,10 +265,10 @@
             era=self._store.era or 0,
             first_era=self._member.first_era or self._store.era or 0,
             read=self._read_offsets(),
-            limits=self._limit_news()[:MOST_LIMITS],
+            limits=self._limit_news()[:MAX_LIMITS],
         )
         self._member = member
-        self._beat_at = trio.current_time()
+        self._written_at = trio.current_time()
         value = msgspec.msgpack.encode(member)
         try:
             await self._store.append(self._options.topic, {self._instance: value})
@@ -271,128 +278,129 @@
         self._announced_outdated = member.outdated
 
     async def leave(self) -> None:
-        """Say that callers are to go elsewhere."""
+        """Announce that callers must use other routers; no heartbeats follow."""
         self._announcing = False
         async with self._writing:
             self._member = msgspec.structs.replace(self._member, address="")
             await self._write()
 
-    def _take(self, records: list[KeyedRecord]) -> None:
+    def _process_records(self, records: list[KeyedRecord]) -> None:
         now = trio.current_time()
         for record in records:
             if not record.value:
-                self._heard_by_instance.pop(record.key, None)
+                self._sightings_by_instance.pop(record.key, None)
                 continue
             try:
                 member = _member_of(record.value)
             except (msgspec.DecodeError, RecursionError) as err:
-                self._tell_unreadable(record.key, str(err))
+                self._log_unreadable(record.key, str(err))
                 continue
             self._unreadable.discard(record.key)
-            self._hear(record.key, member, now)
+            self._update(record.key, member, now)
         self.on_update()
 
-    def _tell_unreadable(self, instance: str, error: str) -> None:
-        """Say once of an instance that its record names no router."""
+    def _log_unreadable(self, instance: str, error: str) -> None:
+        """Log, once per instance, that its record does not describe a router."""
         if instance not in self._unreadable:
             self._unreadable.add(instance)
             logger.bind(instance=instance, error=error).error("member-unreadable")
 
-    def _hear(self, instance: str, member: Member, now: float) -> None:
-        """Take a member's record; one that was taken before is no sign of life.
+    def _update(self, instance: str, member: Member, now: float) -> None:
+        """Process a member's record; a record that was processed before is no sign of life.
 
-        It is among the newest for ever: a router that had died counted as alive for 3.5 s each time
-        that these were read again.
+        A dead router's last record stays in the topic forever. Without this check, the router
+        counted as alive for 3.5 s each time the newest records were read again.
         """
-        known = self._heard_by_instance.get(instance)
+        known = self._sightings_by_instance.get(instance)
         if known and known.member == member:
             return
-        if known and now < self._copy_until and _is_former(member, known.member):
+        if known and now < self._rollback_until and _is_former(member, known.member):
             return
         if known is None or known.member.incarnation != member.incarnation:
             logger.bind(instance=instance, address=member.address).info("router-seen")
         elif known.member.address and not member.address:
             logger.bind(instance=instance).info("router-leaving")
-        if member.limits and instance != self._instance and not self._is_backlog(now):
+        if member.limits and instance != self._instance and not self._is_catching_up(now):
             self.on_limits(member.limits)
         endpoint = RouterEndpoint(instance, member.address, member.failure_domain)
         candidate = Candidate(endpoint, member.capacity, member.load, member.outdated)
-        self._heard_by_instance[instance] = _Heard(member, now, candidate)
+        self._sightings_by_instance[instance] = _Sighting(member, now, candidate)
 
-    def _is_backlog(self, now: float) -> bool:
-        """Return whether records that are read now may have been written long ago."""
-        is_back = (
+    def _is_catching_up(self, now: float) -> bool:
+        """Return whether records that are read now may be old: read after a start or an outage."""
+        is_restored = (
             self._feed.reachable and now - self._feed.restored_at >= self._options.dead_after_s
         )
-        return not is_back or not self._feed.caught_up
+        return not is_restored or not self._feed.caught_up
 
     @property
     def caught_up(self) -> bool:
-        """True once the topic was read to its end."""
+        """True once the topic has been read to its end."""
         return self._feed.caught_up
 
     @property
     def read_at(self) -> float:
-        """Trio time of the last read to the topic's end."""
+        """Trio time of the latest read that reached the topic's end."""
         return self._feed.freshness.read_at
 
     def is_announced_outdated(self) -> bool:
-        """Return whether this router's last record that was written says that it is behind."""
+        """Return whether the last written record of this router marks it as outdated."""
         return self._announced_outdated
 
     def live(self) -> list[RouterEndpoint]:
-        """Return the routers that serve, whether callers are sent to them or not."""
+        """Return all live routers, advertised or not."""
         return [candidate.endpoint for candidate in self._candidates()]
 
     def advertised(self) -> list[RouterEndpoint]:
-        """Return the routers that callers are sent to, as of a moment ago."""
-        self._name()
-        return self._named
+        """Return the routers that are advertised to callers; cached for `SELECTION_CACHE_S`."""
+        self._select()
+        return self._advertised
 
     def traffic(self) -> RouterTraffic:
-        """Return which routers callers come to, as of a moment ago."""
-        self._name()
+        """Return which routers callers use; cached for `SELECTION_CACHE_S`."""
+        self._select()
         return self._traffic
 
-    def _name(self) -> None:
-        """Choose the routers that callers are sent to anew, unless that was done a moment ago."""
+    def _select(self) -> None:
+        """Select the routers to advertise, unless the cached selection is recent."""
         now = trio.current_time()
-        if now - self._named_at <= NAMED_AGE_S:
+        if now - self._selected_at <= SELECTION_CACHE_S:
             return
         candidates = self._candidates()
-        named = select_routers(candidates, self._options.selection)
-        if named != self._named:
-            logger.bind(routers=[endpoint.name for endpoint in named]).info("routers-named")
-        self._named = named
-        self._traffic = router_traffic(candidates, named)
-        self._named_at = now
+        advertised = select_routers(candidates, self._options.selection)
+        if advertised != self._advertised:
+            logger.bind(routers=[endpoint.name for endpoint in advertised]).info("routers-named")
+        self._advertised = advertised
+        self._traffic = router_traffic(candidates, advertised)
+        self._selected_at = now
 
     def is_advertised(self) -> bool:
-        """Return whether callers are sent to this router."""
+        """Return whether this router is advertised to callers."""
         return any(endpoint.name == self._instance for endpoint in self.advertised())
 
     # -- eras ---------------------------------------------------------------------------------
 
     def min_read_offset(self, partition: int, reported: Mapping[tuple[str, str], int]) -> float:
-        """Return up to which offset all others in use have read a partition of the ledgers.
+        """Return the offset up to which all other advertised routers have read a ledger partition.
 
-        Infinite where there are none. One that has not written in the store's era has read nothing
-        of it; a former release's says nothing of what it reads, and is left out.
+        Infinite if there are no others. A router that has not written a record in the store's
+        present era counts as having read nothing. Records of an earlier release don't state
+        offsets and are left out.
 
         Parameters
         ----------
         partition : int
         reported : mapping of tuple of str to int
-            What the ledgers themselves tell, by instance and incarnation.
+            Offsets that the ledgers themselves report, by instance and incarnation.
         """
-        least = math.inf
+        lowest = math.inf
         for endpoint in self.advertised():
-            heard = self._heard_by_instance.get(endpoint.name)
-            if heard and endpoint.name != self._instance and heard.member.first_era:
-                life = (endpoint.name, heard.member.incarnation)
-                read = max(reported.get(life, 0), self._read_by(heard.member, partition))
-                least = min(least, read)
-        return least
+            sighting = self._sightings_by_instance.get(endpoint.name)
+            if sighting and endpoint.name != self._instance and sighting.member.first_era:
+                process = (endpoint.name, sighting.member.incarnation)
+                read = max(reported.get(process, 0), self._read_by(sighting.member, partition))
+                lowest = min(lowest, read)
+        return lowest
 
     def _read_by(self, member: Member, partition: int) -> int:
         if member.era != self._store.era or partition >= len(member.read):
@@ -400,82 +408,84 @@
         return member.read[partition]
 
     def lost_routers(self, era: int, last_opened: int) -> int:
-        """Return how many routers may have held budgets and were not heard in an era.
+        """Return how many routers may have held budgets and wrote no record in the given era.
 
-        A process that lived while grants were made knows who else did. Others know those that the
-        copy shows, and can't tell a router that is new from one whose process was replaced.
+        A process that ran while grants were made knows which other routers did. A newer process
+        only knows the routers that the restored copy shows, and can't tell a new router from one
+        whose process was replaced.
 
         Parameters
         ----------
         era : int
-            The store's.
+            The store's present era.
         last_opened : int
-            The latest in which grants were made.
+            The latest era in which grants were made.
         """
-        lives = self._lives()
-        said = {life for life, member in lives.items() if member.era == era}
-        lived_through = {life for life in said if lives[life].first_era <= last_opened}
-        if self._member.first_era > last_opened or not self._lived_at:
-            return len(lives.keys() - lived_through - self._left())
-        known = {name for name, _ in self._lived_at}
-        unknown = {name for name, _ in said - lived_through} - known
-        return len(self._lived_at.keys() - said - self._left()) + len(unknown)
+        members = self._members_by_process()
+        reporting = {process for process, member in members.items() if member.era == era}
+        survivors = {process for process in reporting if members[process].first_era <= last_opened}
+        if self._member.first_era > last_opened or not self._alive_at_rise:
+            return len(members.keys() - survivors - self._departed())
+        known = {name for name, _ in self._alive_at_rise}
+        unknown = {name for name, _ in reporting - survivors} - known
+        return len(self._alive_at_rise.keys() - reporting - self._departed()) + len(unknown)
 
     def heard_from_former(self, era: int, last_opened: int) -> bool:
-        """Return whether one that callers were sent to while grants were made was heard in an era.
+        """Return whether a router that was advertised while grants were made wrote in an era.
 
         Parameters
         ----------
         era, last_opened : int
             See `lost_routers`.
         """
-        lives = self._lives()
+        members = self._members_by_process()
         return any(
-            life in lives and lives[life].era == era and lives[life].first_era <= last_opened
-            for life in self._named_at_rise
+            key in members and members[key].era == era and members[key].first_era <= last_opened
+            for key in self._advertised_at_rise
         )
 
-    def _lives(self) -> dict[tuple[str, str], Member]:
-        """Return the newest record of each instance, by its process."""
-        members = {name: heard.member for name, heard in self._heard_by_instance.items()}
+    def _members_by_process(self) -> dict[tuple[str, str], Member]:
+        """Return the newest record of each instance, by instance and incarnation."""
+        members = {name: sighting.member for name, sighting in self._sightings_by_instance.items()}
         return {(name, member.incarnation): member for name, member in members.items()}
 
-    def _left(self) -> set[tuple[str, str]]:
-        """Return the lives that have said that they leave: they gave back what they held."""
+    def _departed(self) -> set[tuple[str, str]]:
+        """Return the processes that announced leaving; these have returned their budgets."""
         return {
-            (name, heard.member.incarnation)
-            for name, heard in self._heard_by_instance.items()
-            if not heard.member.address
+            (name, sighting.member.incarnation)
+            for name, sighting in self._sightings_by_instance.items()
+            if not sighting.member.address
         }
 
-    def _life_of(self, endpoint: RouterEndpoint) -> tuple[str, str]:
-        return (endpoint.name, self._heard_by_instance[endpoint.name].member.incarnation)
+    def _process_of(self, endpoint: RouterEndpoint) -> tuple[str, str]:
+        return (endpoint.name, self._sightings_by_instance[endpoint.name].member.incarnation)
 
-    # -- who callers are sent to ---------------------------------------------------------------
+    # -- liveness ------------------------------------------------------------------------------
 
     def has_current_substitute(self) -> bool:
-        """Return whether callers are sent to others, with the newest configuration among them."""
+        """Return whether others are advertised instead, at least one of them not outdated."""
         if self.is_advertised():
             return False
-        heard = [self._heard_by_instance.get(endpoint.name) for endpoint in self.advertised()]
-        return any(router is not None and not router.member.outdated for router in heard)
+        sightings = [self._sightings_by_instance.get(each.name) for each in self.advertised()]
+        return any(router is not None and not router.member.outdated for router in sightings)
 
     def _candidates(self) -> list[Candidate]:
-        silent_since = self._silence_began()
+        silence_end = self._silence_end()
         return [
-            heard.candidate
-            for heard in self._heard_by_instance.values()
-            if heard.member.address and silent_since - heard.at <= self._patience_s(heard.member)
+            sighting.candidate
+            for sighting in self._sightings_by_instance.values()
+            if sighting.member.address
+            and silence_end - sighting.at <= self._timeout_s(sighting.member)
         ]
 
-    def _patience_s(self, member: Member) -> float:
-        """Return how long a member may be silent: some of its own beats."""
+    def _timeout_s(self, member: Member) -> float:
+        """Return how long a member's record may stay unchanged, in proportion to its interval."""
         return self._options.dead_after_s * max(
             1.0, member.heartbeat_interval_s / self._options.heartbeat_interval_s
         )
 
-    def _silence_began(self) -> float:
-        """Return now, or the time at which the store was lost: silence counts up to there."""
+    def _silence_end(self) -> float:
+        """Return the time up to which silence counts: now, or when the store was lost."""
         if self._feed.reachable:
             returned = trio.current_time() - self._feed.restored_at
             if returned < self._options.dead_after_s:
@@ -484,6 +494,8 @@
         return self._feed.lost_at
 
 
-def _recent(at_by_life: dict[tuple[str, str], float], now: float) -> dict[tuple[str, str], float]:
-    """Return what was true of processes at a rise that the store may still go back over."""
-    return {life: at for life, at in at_by_life.items() if now - at < COPY_S}
+def _recent(
+    at_by_process: dict[tuple[str, str], float], now: float
+) -> dict[tuple[str, str], float]:
+    """Return the entries that are recent enough to matter after another rollback."""
+    return {process: at for process, at in at_by_process.items() if now - at < ROLLBACK_WINDOW_S}
--- a/railtide/membership/router_selection.py
+++ b/railtide/membership/router_selection.py
@@ -1,9 +1,9 @@
-"""Which routers of the fleet callers are sent to: as few as carry the load. Pure.
+"""Selects the routers to advertise to callers: as few as carry the load. Free of side effects.
 
-Every router that callers use needs a part of each budget in its hand, so that it can serve while
-the store is away. What lies in one hand can't be spent through another. A few routers, chosen alike
-by all from the same records, leave less of each budget unused in the wrong hands, and the others
-need to ask the store for little.
+Every router that callers use needs an allocation of each budget, so that it can serve during an
+outage of the store, and units allocated to one router can't be spent through another. With few
+routers, selected identically by all from the same records, less of each budget is allocated where
+it is not used, and the other routers make few requests to the store.
 """
 
 from collections.abc import Sequence
@@ -17,15 +17,15 @@
 
 __all__ = ["Candidate", "RouterTraffic", "SelectionOptions", "router_traffic", "select_routers"]
 
-VISITED_SHARE = 0.25
-"""Part of what named routers are asked from which on callers count as coming to one."""
-MOST_NAMES = 4096
-"""Names whose place is kept: more than the routers of any fleet that is planned for."""
+ACTIVE_SHARE = 0.25
+"""A router counts as used by callers above this share of the advertised routers' mean load."""
+MAX_CACHED_NAMES = 4096
+"""Names whose hash is cached; more than the routers of any planned fleet."""
 
 
 @dataclass(frozen=True)
 class Candidate:
-    """A router that could be named to callers.
+    """A router that may be advertised to callers.
 
     Attributes
     ----------
@@ -33,9 +33,9 @@
     capacity : float
         Requests a second that its instance can carry.
     load : float
-        Requests a second that it was asked lately.
+        Requests a second that it received lately.
     outdated : bool
-        Whether it knows of a newer configuration and does not have it.
+        Whether it knows of a newer configuration that it does not have.
     """
 
     endpoint: RouterEndpoint
@@ -46,17 +46,17 @@
 
 @dataclass(frozen=True)
 class SelectionOptions:
-    """How many routers are named.
+    """How many routers are advertised.
 
     Attributes
     ----------
     min_routers : int
-        Fewest, while that many live: two in different failure domains, so that the loss of one
-        leaves one. A third splits each account's traffic into smaller parts, whose sums in the
-        next seconds are told less surely (docs/MEASUREMENTS.md).
+        Minimum, if that many are alive: two in different failure domains, so that one remains after
+        the loss of the other. A third would split each account's traffic into smaller parts, whose
+        demand in the next seconds is harder to predict (docs/MEASUREMENTS.md).
     max_utilization : float
-        Part of the capacity of those named that the load may take. Low, since a burst doubles the
-        load and half of them may be lost before others are named.
+        Share of the advertised routers' capacity that the load may take. Low, since a burst may
+        double the load, and half of the routers may be lost before others are advertised.
     """
 
     min_routers: int = 2
@@ -65,15 +65,15 @@
 
 @dataclass(frozen=True)
 class RouterTraffic:
-    """Which routers callers come to.
+    """Which routers callers use.
 
     Attributes
     ----------
     active : tuple of str
-        Names of the routers that callers are sent to, and of those that are asked as much: some
-        callers keep an address for long.
+        Names of the advertised routers, and of others with a comparable load: some callers keep an
+        address for long.
     idle : tuple of str
-        Names of all others that live.
+        Names of all other live routers.
     """
 
     active: tuple[str, ...] = ()
@@ -81,9 +81,9 @@
 
 
 def router_traffic(
-    candidates: Sequence[Candidate], named: Sequence[RouterEndpoint]
+    candidates: Sequence[Candidate], advertised: Sequence[RouterEndpoint]
 ) -> RouterTraffic:
-    """Return which of the routers that live callers come to, given those that are named to them.
+    """Return which of the live routers callers use, given the advertised ones.
 
     Examples
     --------
@@ -92,11 +92,13 @@
     >>> router_traffic(made, [made[0].endpoint])
     RouterTraffic(active=('a', 'b'), idle=('c',))
     """
-    names = {endpoint.name for endpoint in named}
+    names = {endpoint.name for endpoint in advertised}
     loads = [candidate.load for candidate in candidates if candidate.endpoint.name in names]
-    least = VISITED_SHARE * sum(loads) / max(1, len(loads))
-    active = [c.endpoint.name for c in candidates if c.endpoint.name in names or c.load > least]
-    idle = [c.endpoint.name for c in candidates if c.endpoint.name not in names and c.load <= least]
+    min_load = ACTIVE_SHARE * sum(loads) / max(1, len(loads))
+    active = [c.endpoint.name for c in candidates if c.endpoint.name in names or c.load > min_load]
+    idle = [
+        c.endpoint.name for c in candidates if c.endpoint.name not in names and c.load <= min_load
+    ]
     return RouterTraffic(tuple(active), tuple(idle))
 
 
@@ -105,14 +107,14 @@
 ) -> list[RouterEndpoint]:
     """Return the routers to advertise: the largest of each failure domain in turn.
 
-    Those that are behind are named where the current ones are too few or don't carry the load: they
-    serve all but what is new.
+    Outdated routers are selected if the current ones are too few or can't carry the load; they
+    serve everything except what the newer configuration adds.
 
     Notes
     -----
-    Routers that see the same candidates choose the same ones, and a candidate that comes or goes
-    moves only its own place. Equal ones are in the order of a hash, so that each account of a
-    larger fleet does not lean on the names that sort first.
+    Routers that see the same candidates select the same ones, and adding or removing a candidate
+    affects only its own place. Candidates of equal capacity are ordered by a hash of their names,
+    so that the names that sort first don't get all the load.
 
     Examples
     --------
@@ -135,7 +137,7 @@
 
 
 def _by_domain_in_turn(candidates: Sequence[Candidate]) -> list[Candidate]:
-    """Return the candidates, the best of each failure domain first, then the second ones."""
+    """Return the candidates: the best of each failure domain first, then the second best ones."""
     ordered_by_domain: dict[str, list[Candidate]] = {}
     for candidate in sorted(candidates, key=_order):
         ordered_by_domain.setdefault(candidate.endpoint.failure_domain, []).append(candidate)
@@ -144,10 +146,10 @@
 
 
 def _order(candidate: Candidate) -> tuple[float, int]:
-    return (-candidate.capacity, _place_of(candidate.endpoint.name))
+    return (-candidate.capacity, _rank_of(candidate.endpoint.name))
 
 
-@lru_cache(maxsize=MOST_NAMES)
-def _place_of(name: str) -> int:
-    """Return a router's place among equal ones."""
+@lru_cache(maxsize=MAX_CACHED_NAMES)
+def _rank_of(name: str) -> int:
+    """Return the rank of a router among those of equal capacity."""
     return xxhash.xxh3_64_intdigest(name.encode())
--- a/railtide/membership/tests/test_roster.py
+++ b/railtide/membership/tests/test_roster.py
@@ -8,7 +8,7 @@
 import pytest
 import trio
 
-from railtide.membership.roster import MOST_LIMITS, Member, Roster, RosterOptions
+from railtide.membership.roster import MAX_LIMITS, Member, Roster, RosterOptions
 from railtide.standins.keyed_store import MemoryStore
 from railtide.upstreams.stated_limit import LimitNews
 
@@ -402,7 +402,7 @@
 
     async def test_one_record_tells_of_so_many_at_the_most(self, autojump_clock) -> None:
         store = MemoryStore()
-        news = tuple(LimitNews(f"e{n}", "life", 1.5, 0.5) for n in range(MOST_LIMITS + 1))
+        news = tuple(LimitNews(f"e{n}", "life", 1.5, 0.5) for n in range(MAX_LIMITS + 1))
         teller = Roster(
             store, "a", Member("a-1", "a:1", "z", 0), OPTIONS, Random(1), limit_news=lambda: news
         )
@@ -410,5 +410,5 @@
             await start(nursery, teller)
             await trio.sleep(2)
             record = store.topic(OPTIONS.topic).newest_by_key["a"]
-            assert len(msgspec.msgpack.decode(record.value)[11]) == MOST_LIMITS
+            assert len(msgspec.msgpack.decode(record.value)[11]) == MAX_LIMITS
             nursery.cancel_scope.cancel()
--- a/railtide/membership/tests/test_upstream_list.py
+++ b/railtide/membership/tests/test_upstream_list.py
@@ -4,7 +4,7 @@
 from msgspec.structs import replace
 
 from railtide.membership.instances import Instance, InstanceState
-from railtide.membership.upstream_list import GONE_S, LEFT_KEPT_S, UpstreamList
+from railtide.membership.upstream_list import GONE_RETENTION_S, LEFT_RETENTION_S, UpstreamList
 
 
 def engine(name: str, pool: str = "p", born: int = 0) -> Instance:
@@ -196,9 +196,9 @@
 
     async def test_life_that_is_gone_is_not_brought_back_by_a_copy(self, autojump_clock) -> None:
         case = self._with_a_gone_life()
-        await trio.sleep(GONE_S - 1)
+        await trio.sleep(GONE_RETENTION_S - 1)
         case.listed.note_rise()
-        await trio.sleep(GONE_S - 1)
+        await trio.sleep(GONE_RETENTION_S - 1)
         case.listed.put(replace(engine("a", born=5), seq=9))
         case.listed.apply_pending()
         assert case.names_by_pool == {"p": []}
@@ -241,7 +241,7 @@
     async def test_life_is_forgotten_in_time(self, autojump_clock) -> None:
         case = self._with_a_gone_life()
         case.listed.note_rise()
-        await trio.sleep(GONE_S + 0.1)
+        await trio.sleep(GONE_RETENTION_S + 0.1)
         case.listed.put(replace(engine("a", born=5), seq=9))
         case.listed.apply_pending()
         assert case.names_by_pool == {"p": ["a"]}
@@ -296,6 +296,6 @@
             case.listed.note_leaving(engine(f"a{number}"))
             case.listed.remove(f"a{number}")
         case.listed.apply_pending()
-        await trio.sleep(LEFT_KEPT_S + 1)
+        await trio.sleep(LEFT_RETENTION_S + 1)
         case.listed.apply_pending()
         assert case.listed._left_by_name == {}
--- a/railtide/membership/upstream_list.py
+++ b/railtide/membership/upstream_list.py
@@ -1,13 +1,13 @@
-"""The upstreams as the platform lists them, by pool, with the lag and the gaps of that list.
+"""The upstreams that the platform lists, by pool, despite the lag and the gaps of that list.
 
-An upstream may start again under its name. The new life is told by the time of its birth and owes
-nothing to the former one, which may have left; a record of the former one that comes late changes
-nothing. A record that can't be read names no upstream: one that is known by that name is not used
-until it says of itself again what it is.
+An upstream may restart under its name. The new incarnation is recognized by its start time (`born`)
+and inherits nothing from the former one, for example that it was leaving; late records of the
+former one are ignored. If an upstream's record becomes unreadable, the upstream is not used until
+it writes a readable one.
 
-A store that comes back older shows records that newer ones had replaced, and upstreams that are
-gone. For some time after that, of a life that tells its birth a record with a lower number than
-one known changes nothing, and a life that is gone is back only with a higher one.
+After a rollback, the store shows superseded records and upstreams that no longer exist. For
+`GONE_RETENTION_S` after it, a record of an incarnation with a start time is ignored if its sequence
+number is lower than a known one, and a removed incarnation is listed again only with a higher one.
 """
 
 import math
@@ -20,61 +20,64 @@
 
 from railtide.membership.instances import Instance, InstanceState
 
-__all__ = ["GONE_S", "RETURN_GRACE_S", "UpstreamList"]
+__all__ = ["GONE_RETENTION_S", "RETURN_GRACE_S", "UpstreamList"]
 
 RETURN_GRACE_S = 2.0
-"""Records that lapsed while the platform's store was away are back within this time of its
-return; one that is still missing then belongs to an upstream that is gone."""
-GONE_S = 20.0
-"""How long a life that is gone is remembered, and after a rise of the store's era once more: the
-longest history on the users' sheets, and so the age of the oldest copy that is reckoned with."""
-LEFT_KEPT_S = 600.0
-"""How long after an upstream is gone its lives that had left are remembered: its record may have
-lapsed only, and come back without a word of leaving."""
-SAME_END_S = 1.0
-"""By how much two records may differ in when their upstream is warm and mean the same: the time in
-which a record comes to be read varies."""
+"""Records that expired during an outage of the store are written again within this time of its
+return; an upstream whose record is still missing then is gone."""
+GONE_RETENTION_S = 20.0
+"""How long a removed incarnation is remembered, restarted on each rise of the store's era: the
+longest history that the users' fault scenarios lose, hence the age of the oldest restored copy."""
+LEFT_RETENTION_S = 600.0
+"""How long after an upstream's removal its incarnations that were leaving are remembered. Its
+record may only have expired and may return without the leaving state."""
+WARM_TOLERANCE_S = 1.0
+"""Difference up to which two reported warm-up ends count as the same: the delay until a record is
+read varies."""
 RECENT_LOSS_S = 1.0
-"""A store whose loss was noticed no longer ago than this may have lost records before."""
+"""If the store's loss was noticed no longer ago than this, it may have lost records before."""
 
 
 @dataclass(frozen=True)
-class _Service:
-    """The service of one life of an upstream in one pool."""
+class _PoolIncarnation:
+    """One incarnation of an upstream in one pool."""
 
     incarnation: str
     pool: str
 
     @classmethod
-    def of(cls, instance: Instance) -> "_Service":
-        """Return the service that an instance's record tells."""
+    def of(cls, instance: Instance) -> "_PoolIncarnation":
+        """Return the incarnation and pool that an instance's record states."""
         return cls(instance.incarnation, instance.pool)
 
 
 @dataclass(frozen=True)
-class _GoneLife:
-    """The last life under a name and its last number, remembered up to a trio time."""
+class _RemovedIncarnation:
+    """The last incarnation of a removed upstream and its last sequence number.
+
+    Remembered until the trio time `until`.
+    """
 
     born: int
     seq: int
     until: float
 
     def is_newer_than(self, instance: Instance) -> bool:
-        """Return whether a record may be of a time before this life was gone."""
+        """Return whether a record may have been written before this incarnation was removed."""
         if instance.born == self.born:
             return instance.seq <= self.seq
         return instance.born < self.born
 
 
 class UpstreamList:
-    """Keeps what is listed and tells each pool's upstreams when they change.
+    """Keeps the listed upstreams and reports each pool's upstreams when they change.
 
     Parameters
     ----------
     on_change : callable
-        Told of a pool's name and its upstreams.
+        Called with a pool's name and its upstreams.
     lapse_until : callable
-        Returns the trio time up to which a removed record may only have lapsed.
+        Returns the trio time until which a removed record may merely have expired.
     """
 
     def __init__(
@@ -87,30 +90,33 @@
         self._by_name: dict[str, Instance] = {}
         self._missing_by_name: dict[str, float] = {}
         self._unreadable: set[str] = set()
-        self._left_by_name: dict[str, set[_Service]] = {}
+        self._left_by_name: dict[str, set[_PoolIncarnation]] = {}
         self._left_until_by_name: dict[str, float] = {}
-        self._dirty: set[str] = set()
+        self._changed_pools: set[str] = set()
         self._seq_by_name: dict[str, int] = {}
-        self._gone_by_name: dict[str, _GoneLife] = {}
-        self._copy_until = -math.inf
+        self._removed_by_name: dict[str, _RemovedIncarnation] = {}
+        self._rollback_until = -math.inf
 
     def note_rise(self) -> None:
-        """Record that the store came back older: those that are gone may be listed there again."""
-        until = trio.current_time() + GONE_S
-        self._copy_until = until
-        self._gone_by_name = {
-            name: _GoneLife(gone.born, gone.seq, until) for name, gone in self._gone_by_name.items()
+        """Handle a rollback of the store, which may list removed upstreams again."""
+        until = trio.current_time() + GONE_RETENTION_S
+        self._rollback_until = until
+        self._removed_by_name = {
+            name: _RemovedIncarnation(removed.born, removed.seq, until)
+            for name, removed in self._removed_by_name.items()
         }
 
     def put(self, instance: Instance) -> None:
-        """Take a record. Leaving is sticky for a life in its pool."""
+        """Process a record. The leaving state is sticky for an incarnation in its pool."""
         known = self._by_name.get(instance.name)
         if known and known.born and not instance.born:
-            self.mark_unreadable(instance.name, "the birth that this upstream tells is missing")
+            self.mark_unreadable(
+                instance.name, "the record lacks the start time of earlier records"
+            )
             return
         if known and instance.born < known.born:
             return
-        if self._is_of_a_copy(instance):
+        if self._is_rolled_back(instance):
             return
         self._seq_by_name[instance.name] = instance.seq
         instance = replace(instance, seq=0, cold_s=0.0, warm_at=_warm_at(instance, known))
@@ -128,113 +134,125 @@
             state=str(instance.state),
         ).info("upstream-listed")
         self._by_name[instance.name] = instance
-        self._dirty.add(instance.pool)
+        self._changed_pools.add(instance.pool)
         if known:
-            self._dirty.add(known.pool)
+            self._changed_pools.add(known.pool)
 
-    def _is_of_a_copy(self, instance: Instance) -> bool:
-        """Return whether a store that came back older shows a record that a newer one replaced."""
+    def _is_rolled_back(self, instance: Instance) -> bool:
+        """Return whether a record of a rolled back store is older than one that was processed."""
         now = trio.current_time()
-        if not instance.born or now >= self._copy_until:
+        if not instance.born or now >= self._rollback_until:
             return False
         known = self._by_name.get(instance.name)
         if known:
             number = self._seq_by_name[instance.name]
             return known.born == instance.born and instance.seq < number
-        gone = self._gone_by_name.get(instance.name)
-        return gone is not None and now < gone.until and gone.is_newer_than(instance)
+        removed = self._removed_by_name.get(instance.name)
+        return removed is not None and now < removed.until and removed.is_newer_than(instance)
 
     def _with_sticky_leaving(self, instance: Instance) -> Instance:
-        """Return the instance as leaving if this life of it has left this pool.
+        """Return the instance, as leaving if this incarnation was leaving this pool before.
 
-        Another writer's record under its name, of a pool of its own, makes neither leave nor stay.
+        A record that another program writes under the same name for another pool changes neither's
+        state.
         """
-        service = _Service.of(instance)
+        incarnation = _PoolIncarnation.of(instance)
         left = self._left_by_name.setdefault(instance.name, set())
         self._left_until_by_name.pop(instance.name, None)
         if instance.state is InstanceState.LEAVING:
-            left.add(service)
-        return replace(instance, state=InstanceState.LEAVING) if service in left else instance
+            left.add(incarnation)
+        return replace(instance, state=InstanceState.LEAVING) if incarnation in left else instance
 
     def note_leaving(self, instance: Instance) -> None:
-        """Take an upstream's own word, in an answer, that this life of it leaves.
+        """Record that an upstream reported in an answer that this incarnation is leaving.
 
-        It may come long before the record that says so, which nobody reads while the store is away.
+        This may precede the corresponding record by long, since no record is read during an outage
+        of the store.
         """
-        service = _Service.of(instance)
+        incarnation = _PoolIncarnation.of(instance)
         left = self._left_by_name.setdefault(instance.name, set())
-        if service in left:
+        if incarnation in left:
             return
-        left.add(service)
+        left.add(incarnation)
         logger.bind(
             upstream=instance.name, incarnation=instance.incarnation, pool=instance.pool
         ).info("upstream-says-it-leaves")
         known = self._by_name.get(instance.name)
-        if known and _Service.of(known) == service:
+        if known and _PoolIncarnation.of(known) == incarnation:
             self._by_name[instance.name] = replace(known, state=InstanceState.LEAVING)
-            self._dirty.add(known.pool)
+            self._changed_pools.add(known.pool)
 
     def mark_unreadable(self, name: str, error: str) -> None:
-        """Take a record that names no upstream, though its key is the name of one."""
+        """Handle an unreadable record under an upstream's name."""
         if name in self._unreadable:
             return
         self._unreadable.add(name)
         logger.bind(upstream=name, error=error).error("upstream-unreadable")
         known = self._by_name.get(name)
         if known:
-            self._dirty.add(known.pool)
+            self._changed_pools.add(known.pool)
 
     def remove(self, name: str) -> None:
-        """Take the removal of a record: at once, or when it can't have lapsed only."""
+        """Process the removal of a record.
+
+        It takes effect at once, or when the record can't merely have expired.
+        """
         if name not in self._by_name:
             self._unreadable.discard(name)
         elif name not in self._missing_by_name:
             self._missing_by_name[name] = self._lapse_until()
 
     def retain(self, names: set[str]) -> None:
-        """Take a whole list: what is not in it was removed."""
+        """Process a complete list of names: upstreams that are not in it were removed."""
         for name in self._by_name.keys() - names:
             self.remove(name)
 
     def apply_pending(self) -> None:
-        """Drop what is gone and tell of the pools that changed."""
+        """Remove upstreams whose time has passed and report the pools that changed."""
         now = trio.current_time()
         for name, until in list(self._missing_by_name.items()):
             if now >= until:
                 del self._missing_by_name[name]
-                gone = self._by_name.pop(name)
+                removed = self._by_name.pop(name)
                 number = self._seq_by_name.pop(name)
-                if gone.born:
-                    self._gone_by_name[name] = _GoneLife(gone.born, number, now + GONE_S)
+                if removed.born:
+                    self._removed_by_name[name] = _RemovedIncarnation(
+                        removed.born, number, now + GONE_RETENTION_S
+                    )
                 self._unreadable.discard(name)
-                self._left_until_by_name[name] = now + LEFT_KEPT_S
-                self._dirty.add(gone.pool)
-                logger.bind(upstream=name, pool=gone.pool).info("upstream-gone")
-        for name in [name for name, gone in self._gone_by_name.items() if now >= gone.until]:
-            del self._gone_by_name[name]
+                self._left_until_by_name[name] = now + LEFT_RETENTION_S
+                self._changed_pools.add(removed.pool)
+                logger.bind(upstream=name, pool=removed.pool).info("upstream-gone")
+        for name in [
+            name for name, removed in self._removed_by_name.items() if now >= removed.until
+        ]:
+            del self._removed_by_name[name]
         for name in [name for name, until in self._left_until_by_name.items() if now >= until]:
             del self._left_until_by_name[name]
             self._left_by_name.pop(name, None)
-        for pool in sorted(self._dirty):
+        for pool in sorted(self._changed_pools):
             listed = [self._usable(i) for i in self._by_name.values() if i.pool == pool]
             self._on_change(pool, listed)
-        self._dirty.clear()
+        self._changed_pools.clear()
 
     def _usable(self, instance: Instance) -> Instance:
-        """Return the instance; one whose newest record is unreadable takes no new work."""
+        """Return the instance, as leaving if its newest record is unreadable.
+
+        It then gets no new requests.
+        """
         if instance.name in self._unreadable:
             return replace(instance, state=InstanceState.LEAVING)
         return instance
 
 
 def _warm_at(instance: Instance, known: Instance | None) -> float:
-    """Return until when an upstream is cold, by its record and what was known before.
+    """Return the trio time until which an upstream is cold, from its record and the known time.
 
-    A record is some beats old when it is read, so an end that was told before is not put forward,
-    and one that is told a little later each time is the same.
+    A record may be several heartbeats old when it is read. Therefore an earlier end does not
+    replace a known one, and a slightly later one counts as the same.
     """
     before = known.warm_at if known and known.incarnation == instance.incarnation else 0.0
     if not instance.cold_s:
         return before
-    told = trio.current_time() + instance.cold_s
-    return told if told > before + SAME_END_S else before
+    reported = trio.current_time() + instance.cold_s
+    return reported if reported > before + WARM_TOLERANCE_S else before
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -1703,8 +1703,8 @@
     Mutant(
         "routers-that-are-behind-stand-in-for-each-other",
         "membership/roster.py",
-        "return any(router is not None and not router.member.outdated for router in heard)",
-        "return bool(heard)",
+        "return any(router is not None and not router.member.outdated for router in sightings)",
+        "return bool(sightings)",
         (f"{OUTDATED}::TestReplacedState",),
     ),
     Mutant(
@@ -2002,7 +2002,7 @@
     Mutant(
         "life-that-is-gone-comes-back",
         "membership/upstream_list.py",
-        "gone is not None and now < gone.until and gone.is_newer_than(instance)",
+        "removed is not None and now < removed.until and removed.is_newer_than(instance)",
         "False",
         (UPSTREAM_LIST, ROLLBACK),
     ),
@@ -2016,14 +2016,14 @@
     Mutant(
         "numbers-count-without-a-rise",
         "membership/upstream_list.py",
-        "if not instance.born or now >= self._copy_until:",
+        "if not instance.born or now >= self._rollback_until:",
         "if not instance.born:",
         (UPSTREAM_LIST,),
     ),
     Mutant(
         "router-of-the-copy-is-heard",
         "membership/roster.py",
-        "        if known and now < self._copy_until and _is_former(member, known.member):\n"
+        "        if known and now < self._rollback_until and _is_former(member, known.member):\n"
         "            return\n",
         "",
         (f"{MEMBERSHIP}/test_roster.py",),
@@ -2118,14 +2118,14 @@
     Mutant(
         "router-that-is-silent-in-an-era-has-read-all",
         "membership/roster.py",
-        "                least = min(least, read)\n",
-        "                least = min(least, read or math.inf)\n",
+        "                lowest = min(lowest, read)\n",
+        "                lowest = min(lowest, read or math.inf)\n",
         (ROSTER_ERAS,),
     ),
     Mutant(
         "routers-that-died-are-not-missed",
         "membership/roster.py",
-        "return len(self._lived_at.keys() - said - self._left()) + len(unknown)",
+        "return len(self._alive_at_rise.keys() - reporting - self._departed()) + len(unknown)",
         "return len(unknown)",
         (ROSTER_ERAS,),
     ),
@@ -2139,15 +2139,16 @@
     Mutant(
         "copy-shows-who-lives",
         "membership/roster.py",
-        "        lived_through = {life for life in said if lives[life].first_era <= last_opened}\n",
-        "        lived_through = said\n",
+        "        survivors = {process for process in reporting if members[process].first_era <= "
+        "last_opened}\n",
+        "        survivors = reporting\n",
         (ROSTER_ERAS,),
     ),
     Mutant(
         "any-router-knows-the-former-era",
         "membership/roster.py",
-        "            for life in self._named_at_rise\n",
-        "            for life in lives\n",
+        "            for key in self._advertised_at_rise\n",
+        "            for key in members\n",
         (ROSTER_ERAS,),
     ),
     Mutant(
@@ -2215,8 +2216,8 @@
     Mutant(
         "process-of-an-era-that-was-never-open-knows-the-former",
         "membership/roster.py",
-        "lives[life].era == era and lives[life].first_era <= last_opened",
-        "lives[life].era == era",
+        "members[key].era == era and members[key].first_era <= last_opened",
+        "members[key].era == era",
         (FLEET, ROSTER_ERAS),
     ),
     Mutant(
@@ -2292,7 +2293,7 @@
     Mutant(
         "drain-ends-with-a-copy-that-lacks-it",
         "membership/drained_domains.py",
-        "            if trio.current_time() < self._copy_until:",
+        "            if trio.current_time() < self._rollback_until:",
         "            if False:",
         (DRAINS,),
     ),
@@ -2438,7 +2439,7 @@
     Mutant(
         "limits-heard-from-a-backlog",
         "membership/roster.py",
-        "        return not is_back or not self._feed.caught_up",
+        "        return not is_restored or not self._feed.caught_up",
         "        return False",
         (f"{MEMBERSHIP}/test_roster.py",),
     ),
@@ -2466,7 +2467,7 @@
     Mutant(
         "routers-that-are-asked-but-not-named-have-no-part",
         "membership/router_selection.py",
-        "if c.endpoint.name in names or c.load > least]",
+        "if c.endpoint.name in names or c.load > min_load]",
         "if c.endpoint.name in names]",
         (f"{MEMBERSHIP}/test_router_selection.py",),
     ),
@@ -2508,14 +2509,14 @@
     Mutant(
         "leaving-in-an-answer-binds-another-life",
         "membership/upstream_list.py",
-        "        if known and _Service.of(known) == service:",
+        "        if known and _PoolIncarnation.of(known) == incarnation:",
         "        if known:",
         (UPSTREAM_LIST,),
     ),
     Mutant(
         "lapsed-record-forgets-that-its-upstream-left",
         "membership/upstream_list.py",
-        "                self._left_until_by_name[name] = now + LEFT_KEPT_S\n",
+        "                self._left_until_by_name[name] = now + LEFT_RETENTION_S\n",
         "                self._left_by_name.pop(name, None)\n",
         (UPSTREAM_LIST,),
     ),
