--- a/railtide/journal/tests/test_checkpoint.py
+++ b/railtide/journal/tests/test_checkpoint.py
@@ -31,7 +31,7 @@
 
 
 class BrokenLog(MemoryLog):
-    """A log over a link that breaks at each fifth call, and under more than 64 records at once."""
+    """A log whose link breaks at every fifth call and on answers of more than 64 records."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -47,7 +47,7 @@
 
 
 def follower_of(log: LogClient) -> Follower:
-    def ignore(*told: object) -> None:
+    def ignore(*args: object) -> None:
         pass
 
     return Follower(log, KeeperOptions(), Random(1), ignore, ignore, ignore)
@@ -57,7 +57,7 @@
     async def test_none_is_found_in_an_empty_stream(self) -> None:
         assert await latest_checkpoint(MemoryLog(), "journal") is None
 
-    async def test_newest_whole_one_is_found(self, monkeypatch) -> None:
+    async def test_newest_complete_one_is_found(self, monkeypatch) -> None:
         monkeypatch.setattr(checkpoint, "PART_BYTES", 16)
         log = MemoryLog()
         await write_checkpoint(log, "journal", checkpoint_parts(State(offset=3), "a"))
@@ -65,15 +65,15 @@
         await write_checkpoint(log, "journal", checkpoint_parts(State(offset=12), "c")[:-1])
         assert (await latest_checkpoint(log, "journal")).offset == 9
 
-    async def test_is_found_behind_expired_records(self) -> None:
+    async def test_is_found_after_expired_records(self) -> None:
         log = MemoryLog()
         for offset in range(5):
             await write_checkpoint(log, "journal", checkpoint_parts(State(offset=offset), "a"))
         log.store.expire("journal-checkpoints", 4)
         assert (await latest_checkpoint(log, "journal")).offset == 4
 
-    async def test_no_more_than_the_newest_is_read(self, monkeypatch) -> None:
-        """Ten were read whole for the sake of the last."""
+    async def test_only_the_newest_is_read(self, monkeypatch) -> None:
+        """Guards against reading all ten checkpoints to find the last one."""
         monkeypatch.setattr(checkpoint, "PART_BYTES", 16)
         log = MemoryLog()
         for offset in range(10):
@@ -82,7 +82,7 @@
         assert (await latest_checkpoint(log, "journal")).offset == 9
         assert log.records_read <= len(parts) + 1
 
-    async def test_parts_of_two_writers_may_lie_among_each_other(self, monkeypatch) -> None:
+    async def test_parts_of_two_writers_may_interleave(self, monkeypatch) -> None:
         monkeypatch.setattr(checkpoint, "PART_BYTES", 16)
         log = MemoryLog()
         for pair in zip(
@@ -95,8 +95,8 @@
 
 
 class TestBrokenLink:
-    async def test_start_keeps_the_parts_that_came(self, monkeypatch, autojump_clock) -> None:
-        """Each break threw all parts away, so that none was ever whole."""
+    async def test_start_keeps_the_parts_already_read(self, monkeypatch, autojump_clock) -> None:
+        """If each break discarded all parts, no checkpoint would ever be complete."""
         monkeypatch.setattr(checkpoint, "PART_BYTES", 1)
         log = BrokenLog()
         parts = checkpoint_parts(State(offset=3), "a")
@@ -114,8 +114,8 @@
                 nursery.cancel_scope.cancel()
         assert follower.caught_up and follower.state.offset == 3
 
-    async def test_read_that_breaks_is_tried_with_less(self, autojump_clock) -> None:
-        """The same 512 records were asked for again at each try, and never came."""
+    async def test_broken_read_is_retried_with_fewer_records(self, autojump_clock) -> None:
+        """If each retry requested the same 512 records, it would never succeed."""
         log = BrokenLog()
         for number in range(1_000):
             log.store.append("journal", b"%d" % number)
--- a/railtide/journal/tests/test_eras.py
+++ b/railtide/journal/tests/test_eras.py
@@ -30,19 +30,19 @@
         eras.check_unchanged(since)
         assert (eras.current, lines) == (7, [])
 
-    def test_rise_is_told_once_to_all(self, lines) -> None:
+    def test_rise_is_reported_once_to_all_listeners(self, lines) -> None:
         counters = Counters()
         eras = EraTracker(counters)
-        told: list[int | None] = []
-        eras.on_era_rise(lambda: told.append(eras.current))
-        eras.on_era_rise(lambda: told.append(eras.current))
+        reported: list[int | None] = []
+        eras.on_era_rise(lambda: reported.append(eras.current))
+        eras.on_era_rise(lambda: reported.append(eras.current))
         for era in ("1", "1", "3", "3"):
             eras.accept(era)
-        assert told == [3, 3]
+        assert reported == [3, 3]
         assert lines == [("store-era-risen", {"before": 1, "era": 3})]
         assert counters.value("store_era_rises") == 1
 
-    def test_call_that_was_sent_before_it_is_not_answered(self) -> None:
+    def test_call_sent_before_the_rise_fails(self) -> None:
         eras = EraTracker(Counters())
         eras.accept("1")
         since = eras.rises
@@ -51,7 +51,7 @@
             eras.check_unchanged(since)
         eras.check_unchanged(eras.rises)
 
-    def test_call_that_was_sent_before_any_era_was_known(self) -> None:
+    def test_call_sent_before_any_era_was_known_fails(self) -> None:
         eras = EraTracker(Counters())
         since = eras.rises
         eras.accept("1")
@@ -61,13 +61,13 @@
 
 
 class TestBadEras:
-    def test_lower_one_is_no_answer_and_told_once_per_value(self, lines) -> None:
+    def test_lower_era_is_refused_and_logged_once_per_value(self, lines) -> None:
         counters = Counters()
         eras = EraTracker(counters)
         eras.accept("3")
-        for told in ("2", "2", "1", "2"):
+        for value in ("2", "2", "1", "2"):
             with pytest.raises(LogUnavailable):
-                eras.accept(told)
+                eras.accept(value)
         assert eras.current == 3
         assert lines == [
             ("store-era-lower", {"told": "2", "era": 3}),
@@ -75,19 +75,19 @@
         ]
         assert counters.value("store_answers_era_lower") == 4
 
-    @pytest.mark.parametrize("told", ["", "x", "-1", "1.0", " 4", "+4", "٤", "9" * 30])
-    def test_unreadable_one_is_no_answer_once_one_was_seen(self, told: str, lines) -> None:
+    @pytest.mark.parametrize("value", ["", "x", "-1", "1.0", " 4", "+4", "٤", "9" * 30])
+    def test_unreadable_era_is_refused_once_one_was_seen(self, value: str, lines) -> None:
         counters = Counters()
         eras = EraTracker(counters)
         eras.accept("3")
         for _ in range(2):
             with pytest.raises(LogUnavailable):
-                eras.accept(told)
+                eras.accept(value)
         assert (eras.current, eras.rises) == (3, 0)
-        assert lines == [("store-era-unreadable", {"told": told[:32], "era": 3})]
+        assert lines == [("store-era-unreadable", {"told": value[:32], "era": 3})]
         assert counters.value("store_answers_era_unreadable") == 2
 
-    def test_missing_one_is_no_answer_once_one_was_seen(self, lines) -> None:
+    def test_missing_era_is_refused_once_one_was_seen(self, lines) -> None:
         counters = Counters()
         eras = EraTracker(counters)
         eras.accept(None)
@@ -98,29 +98,29 @@
         assert lines == [("store-era-missing", {"era": 3})]
         assert counters.value("store_answers_era_missing") == 2
 
-    def test_store_without_one_is_as_before(self, lines) -> None:
+    def test_store_without_eras_is_accepted(self, lines) -> None:
         counters = Counters()
         eras = EraTracker(counters)
-        for told in (None, None):
-            eras.accept(told)
+        for value in (None, None):
+            eras.accept(value)
         assert (eras.current, lines, counters.values_by_name()) == (None, [], {})
 
-    def test_unreadable_one_before_any_is_told_and_answered(self, lines) -> None:
+    def test_unreadable_era_before_any_other_is_logged_but_accepted(self, lines) -> None:
         eras = EraTracker(Counters())
         eras.accept("x")
         eras.accept("x")
         assert lines == [("store-era-unreadable", {"told": "x", "era": None})]
 
-    def test_bad_ones_are_told_again_behind_a_rise(self, lines) -> None:
+    def test_bad_values_are_logged_again_after_a_rise(self, lines) -> None:
         eras = EraTracker(Counters())
-        for told in ("1", "2"):
-            eras.accept(told)
+        for value in ("1", "2"):
+            eras.accept(value)
             with pytest.raises(LogUnavailable):
                 eras.accept(None)
         missing = [fields for event, fields in lines if event == "store-era-missing"]
         assert missing == [{"era": 1}, {"era": 2}]
 
-    def test_lines_on_values_that_differ_each_time_are_bounded(self, lines) -> None:
+    def test_log_lines_about_differing_values_are_bounded(self, lines) -> None:
         eras = EraTracker(Counters())
         eras.accept("3")
         for n in range(3 * MAX_LOGGED_VALUES):
--- a/railtide/journal/tests/test_feed.py
+++ b/railtide/journal/tests/test_feed.py
@@ -11,7 +11,7 @@
 
 
 class Case:
-    """A feed whose records are kept."""
+    """A feed and the records that it has passed on."""
 
     def __init__(
         self, store: MemoryStore, wait_s: float = 1.0, skip_superseded: bool = True
@@ -39,7 +39,7 @@
             assert case.seen == [("a", b"1"), ("b", b"2")]
             nursery.cancel_scope.cancel()
 
-    async def test_outage_loses_nothing_and_is_dated(self, autojump_clock) -> None:
+    async def test_outage_loses_no_record_and_its_times_are_kept(self, autojump_clock) -> None:
         store = MemoryStore()
         case = Case(store)
         async with trio.open_nursery() as nursery:
@@ -55,7 +55,7 @@
             assert case.feed.reachable and case.feed.restored_at > case.feed.lost_at
             nursery.cancel_scope.cancel()
 
-    async def test_forgotten_history_is_replaced_by_the_newest(self, autojump_clock) -> None:
+    async def test_expired_history_is_replaced_by_the_newest_records(self, autojump_clock) -> None:
         store = MemoryStore()
         case = Case(store)
         async with trio.open_nursery() as nursery:
@@ -74,10 +74,11 @@
             nursery.cancel_scope.cancel()
 
     async def test_return_is_noticed_without_a_record(self, autojump_clock) -> None:
-        """A read behind the return waited for a record; until one came, the store counted as away.
+        """The first read after an outage must not wait for a new record.
 
-        A record removed meanwhile was taken to have lapsed 2 s longer, and its upstream, which had
-        left, was sent a request 2,049 ms behind its leaving, of 2,000 that are allowed.
+        Until one was written, the store counted as lost. A record removed in that time was taken
+        for one that had only expired, for 2 s longer, and its upstream, which had left, was sent a
+        request 2,049 ms after leaving instead of 2,000 ms at most.
         """
         store = MemoryStore()
         case = Case(store, wait_s=2.0)
@@ -99,7 +100,7 @@
 
 
 class CountingStore(MemoryStore):
-    """Counts the values that were read, and can hold an answer that has begun."""
+    """Counts the values that were read, and can delay an answer that has begun."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -121,8 +122,8 @@
         return page
 
 
-class TestReplacedVersions:
-    async def read_behind_an_outage(self, values: list[tuple[str, bytes]]) -> tuple[int, Case]:
+class TestSupersededVersions:
+    async def read_after_an_outage(self, values: list[tuple[str, bytes]]) -> tuple[int, Case]:
         store = CountingStore()
         store.put("t", "a", b"0")
         case = Case(store)
@@ -139,24 +140,24 @@
         return store.values_read, case
 
     async def test_large_ones_are_not_read(self, autojump_clock) -> None:
-        count, case = await self.read_behind_an_outage([("a", LARGE + b"%d" % n) for n in range(3)])
+        count, case = await self.read_after_an_outage([("a", LARGE + b"%d" % n) for n in range(3)])
         assert case.seen == [("a", b"0"), ("a", LARGE + b"2")]
         assert count == 0
 
-    async def test_one_that_nothing_replaces_is_read_as_it_is(self, autojump_clock) -> None:
-        count, case = await self.read_behind_an_outage([("a", LARGE)])
+    async def test_single_large_version_is_read_directly(self, autojump_clock) -> None:
+        count, case = await self.read_after_an_outage([("a", LARGE)])
         assert case.seen == [("a", b"0"), ("a", LARGE)]
         assert count == 1
 
     async def test_small_ones_are_read_in_order(self, autojump_clock) -> None:
-        count, case = await self.read_behind_an_outage([("a", b"1"), ("a", b"2")])
+        count, case = await self.read_after_an_outage([("a", b"1"), ("a", b"2")])
         assert case.seen == [("a", b"0"), ("a", b"1"), ("a", b"2")]
         assert count == 2
 
     async def test_more_versions_than_known_keys_are_not_read(self, autojump_clock) -> None:
         others = [(f"k{n}", b"") for n in range(3)]
-        count, case = await self.read_behind_an_outage([("a", LARGE), *others])
-        assert case.seen[1:] == [("a", LARGE)], "what is removed is not among the newest"
+        count, case = await self.read_after_an_outage([("a", LARGE), *others])
+        assert case.seen[1:] == [("a", LARGE)], "removed keys are not among the newest records"
         assert count == 0
 
 
@@ -175,7 +176,7 @@
             assert case.feed.freshness.unread_since is None
             nursery.cancel_scope.cancel()
 
-    async def test_it_is_behind_from_the_begin_of_an_answer_to_its_end(
+    async def test_it_is_not_current_while_an_answer_with_records_is_read(
         self, autojump_clock
     ) -> None:
         store = CountingStore()
@@ -195,23 +196,21 @@
             assert case.feed.freshness.read_at >= put_at
             nursery.cancel_scope.cancel()
 
-    async def test_it_is_not_current_until_what_is_asked_for_anew_is_read(
-        self, autojump_clock
-    ) -> None:
+    async def test_it_is_not_current_until_a_refresh_is_complete(self, autojump_clock) -> None:
         store = MemoryStore()
         case = Case(store)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(case.feed.run)
             await trio.sleep(0.5)
-            fresh = case.feed.refresh()
+            refreshed = case.feed.refresh()
             assert not case.feed.is_current()
-            await fresh.wait()
+            await refreshed.wait()
             assert case.feed.is_current()
             nursery.cancel_scope.cancel()
 
 
-class TestTransfer:
-    async def test_the_rest_is_told_by_what_has_come(self, autojump_clock) -> None:
+class TestReadProgress:
+    async def test_remaining_time_follows_the_rate_so_far(self, autojump_clock) -> None:
         progress = ReadProgress()
         assert progress.remaining_s() is None
         progress.begin(1, 1000)
@@ -222,19 +221,19 @@
 
 
 class TestPause:
-    async def test_news_behind_a_start_is_not_held_up_by_the_pause_between_reads(
+    async def test_record_written_after_the_start_is_not_delayed_by_the_pause(
         self, autojump_clock
     ) -> None:
-        """Behind the newest records one read does not wait; the next one has to be under way."""
+        """The first read after the newest records returns at once; a waiting one must follow it."""
         store = MemoryStore()
         store.put("t", "a", b"0")
-        told_at: list[float] = []
+        received_at: list[float] = []
         feed = Feed(
             store,
             "t",
             FeedOptions(pause_s=1.0),
             Random(1),
-            lambda records: told_at.append(trio.current_time()),
+            lambda records: received_at.append(trio.current_time()),
         )
         async with trio.open_nursery() as nursery:
             nursery.start_soon(feed.run)
@@ -242,5 +241,5 @@
             store.put("t", "a", b"1")
             put_at = trio.current_time()
             await trio.sleep(0.1)
-            assert told_at[-1] == put_at
+            assert received_at[-1] == put_at
             nursery.cancel_scope.cancel()
--- a/railtide/journal/tests/test_feed_bad_answers.py
+++ b/railtide/journal/tests/test_feed_bad_answers.py
@@ -1,4 +1,4 @@
-"""A silent store behind an answer of which a part came; answers of no use."""
+"""Feeds whose store sends partial, missing or wrong answers."""
 
 from random import Random
 
@@ -12,12 +12,12 @@
 
 
 class BrokenOff(MemoryStore):
-    """Of two records that wait the first comes; how long each read behind it waits is kept."""
+    """Returns only the first of several records, and remembers the `wait_s` of later reads."""
 
     def __init__(self) -> None:
         super().__init__()
         self.waits_s: list[float] = []
-        self.had_part = False
+        self.answered_partly = False
 
     async def read(
         self,
@@ -27,17 +27,17 @@
         partition: int = 0,
         progress: ReadProgress | None = None,
     ) -> KeyedPage:
-        if self.had_part:
+        if self.answered_partly:
             self.waits_s.append(wait_s)
         page = await super().read(topic, start, wait_s, partition, progress)
         records = page.records[:1]
-        self.had_part = self.had_part or len(records) < len(page.records)
+        self.answered_partly = self.answered_partly or len(records) < len(page.records)
         return KeyedPage(records, page.end, start + len(records))
 
 
-class TestPart:
-    async def test_rest_that_is_known_to_be_there_is_not_waited_for(self, autojump_clock) -> None:
-        """A store that fell silent within the answer is noticed 1 s later, not 2 + 1 s later."""
+class TestPartialAnswer:
+    async def test_records_known_to_exist_are_read_without_waiting(self, autojump_clock) -> None:
+        """A store that became unresponsive during the answer is noticed after 1 s, not 2 + 1 s."""
         store = BrokenOff()
         store.put("t", "a", b"0")
         feed = Feed(store, "t", FeedOptions(wait_s=2.0), Random(1), lambda records: None)
@@ -52,7 +52,7 @@
 
 
 class Expired(MemoryStore):
-    """Has lost its history, and says so of each read; counts what it is asked."""
+    """Answers each read with `RecordsExpired`, and counts the calls."""
 
     async def read(
         self,
@@ -67,9 +67,7 @@
 
 
 class TestExpiredAgain:
-    async def test_history_that_ends_before_it_is_read_costs_no_call_after_another(
-        self, autojump_clock
-    ) -> None:
+    async def test_repeatedly_expired_history_is_retried_with_backoff(self, autojump_clock) -> None:
         store = Expired()
         store.delay_s = 0.004
         store.put("t", "a", b"0")
@@ -82,7 +80,7 @@
 
 
 class EndAhead(MemoryStore):
-    """Says that there is one record more than it gives, each time."""
+    """States an end offset one record beyond those that it returns, on each read."""
 
     async def read(
         self,
@@ -99,7 +97,7 @@
 
 
 class TestEndAhead:
-    async def test_answer_without_the_record_that_it_tells_of_is_not_asked_for_at_once(
+    async def test_answer_that_lacks_a_stated_record_is_retried_with_backoff(
         self, autojump_clock
     ) -> None:
         store = EndAhead()
@@ -114,7 +112,7 @@
 
 
 class WrongRefusal(MemoryStore):
-    """Answers one read as it would a condition that did not hold."""
+    """Answers one read with `AppendConflict`."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -135,8 +133,11 @@
 
 
 class TestWrongRefusal:
-    async def test_refusal_of_another_call_does_not_end_the_router(self, autojump_clock) -> None:
-        """`PlatformStore` raises so for a 412 to any call; it ends the nursery of all duties."""
+    async def test_conflict_on_a_read_does_not_end_the_router(self, autojump_clock) -> None:
+        """`PlatformStore` raises it for a 412 on any call.
+
+        Unhandled, it ended the nursery of all the router's tasks.
+        """
         feed = Feed(WrongRefusal(), "t", FeedOptions(), Random(1), lambda records: None)
         with trio.move_on_after(5.0):
             await feed.run()
--- a/railtide/journal/tests/test_feed_eras.py
+++ b/railtide/journal/tests/test_feed_eras.py
@@ -1,4 +1,4 @@
-"""Tests of a feed whose store comes back older."""
+"""Tests of a feed whose store is rolled back to an older copy."""
 
 import trio
 
@@ -7,7 +7,7 @@
 
 
 class TestRise:
-    async def test_offsets_that_are_given_out_again_hide_no_record(self, autojump_clock) -> None:
+    async def test_reused_offsets_hide_no_record(self, autojump_clock) -> None:
         store = MemoryStore(era=1)
         case = Case(store, wait_s=2.0)
         async with trio.open_nursery() as nursery:
@@ -25,7 +25,7 @@
             assert case.feed.next_offset == 5
             nursery.cancel_scope.cancel()
 
-    async def test_offset_goes_back(self, autojump_clock) -> None:
+    async def test_next_offset_is_reset(self, autojump_clock) -> None:
         store = MemoryStore(era=1)
         case = Case(store, wait_s=2.0)
         async with trio.open_nursery() as nursery:
@@ -42,7 +42,9 @@
             assert case.seen[-1] == ("b", b"1")
             nursery.cancel_scope.cancel()
 
-    async def test_feed_is_not_current_before_the_newest_have_come(self, autojump_clock) -> None:
+    async def test_feed_is_not_current_before_the_newest_records_are_read(
+        self, autojump_clock
+    ) -> None:
         store = MemoryStore(era=1)
         case = Case(store, wait_s=2.0)
         async with trio.open_nursery() as nursery:
@@ -73,7 +75,7 @@
             assert case.feed.reachable
             nursery.cancel_scope.cancel()
 
-    async def test_rise_while_the_store_is_away(self, autojump_clock) -> None:
+    async def test_rise_during_an_outage(self, autojump_clock) -> None:
         store = MemoryStore(era=1)
         case = Case(store, wait_s=2.0)
         async with trio.open_nursery() as nursery:
@@ -112,7 +114,7 @@
             assert case.feed.is_current()
             nursery.cancel_scope.cancel()
 
-    async def test_first_era_that_is_told_is_no_rise(self, autojump_clock) -> None:
+    async def test_first_stated_era_is_no_rise(self, autojump_clock) -> None:
         store = MemoryStore()
         case = Case(store, wait_s=2.0)
         async with trio.open_nursery() as nursery:
--- a/railtide/journal/tests/test_feed_freshness.py
+++ b/railtide/journal/tests/test_feed_freshness.py
@@ -1,4 +1,4 @@
-"""What a feed says of its freshness where records are known of that it has not read."""
+"""The freshness that a feed reports while it knows of records that it has not read."""
 
 from random import Random
 
@@ -24,14 +24,16 @@
             await trio.sleep(4.5)
             assert not feed.is_current()
             await trio.sleep(3.0)
-            assert not feed.is_current(), "what came since the newest were read is not read yet"
+            assert not feed.is_current(), "records appended since the newest read are unread"
             await trio.sleep(4.0)
             assert feed.is_current()
             nursery.cancel_scope.cancel()
 
 
 class TestPages:
-    async def test_rest_of_a_later_page_is_told_by_that_page(self, autojump_clock) -> None:
+    async def test_remaining_time_of_a_later_page_ignores_earlier_pages(
+        self, autojump_clock
+    ) -> None:
         progress = ReadProgress()
         for _ in range(2):
             progress.begin(1, 1000)
@@ -43,8 +45,8 @@
 
 
 class TestFirstBytes:
-    async def test_bytes_that_came_with_the_beginning_tell_no_rate(self, autojump_clock) -> None:
-        """They had all the time before it; counted, a transfer of 3 s was told to take 0.8 s."""
+    async def test_initial_bytes_do_not_count_for_the_rate(self, autojump_clock) -> None:
+        """They arrived before the start; counted, a read of 3 s was estimated at 0.8 s."""
         progress = ReadProgress()
         progress.begin(1, 1000, initial=400)
         await trio.sleep(0.01)
--- a/railtide/journal/tests/test_fold.py
+++ b/railtide/journal/tests/test_fold.py
@@ -15,7 +15,7 @@
 
 
 class Log:
-    """Writes entries one by one and folds each."""
+    """Writes entries one by one and folds each at once."""
 
     def __init__(self, holders: tuple[str, ...] = HOLDERS) -> None:
         self.state = State()
@@ -44,20 +44,20 @@
 
 
 class TestSequence:
-    def test_repeat_takes_effect_once(self) -> None:
+    def test_duplicate_takes_effect_once(self) -> None:
         log = Log()
         entry = log.entry("op", TopUp(ACCOUNT, 5, "t"))
         assert len(log.fold([entry, entry])) == 1
         assert log.fold([entry]) == []
         assert log.balance.topped_up == 5
 
-    def test_entry_ahead_of_its_turn_waits_to_be_sent_again(self) -> None:
+    def test_entry_ahead_of_its_sequence_is_ignored_until_resent(self) -> None:
         log = Log()
         first, second = log.entry("a", Heartbeat()), log.entry("a", Heartbeat())
         assert log.fold([second]) == []
         assert len(log.fold([first, second])) == 2
 
-    def test_unknown_record_is_skipped_and_keeps_its_place(self) -> None:
+    def test_unknown_record_is_skipped_but_uses_its_sequence_number(self) -> None:
         log = Log()
         entry = log.entry("a", Heartbeat())
         unknown = Entry("a", entry.seq, 0, b"\x93\xcd\x03\xe7\x01\x02")
@@ -141,7 +141,7 @@
         log.write("b", Fence("a", log.seqs["a"]))
         assert log.write("a", Grant(ACCOUNT, 1, 0)).code == VerdictCode.FENCED
 
-    def test_close_gives_back_all_but_open_requests(self) -> None:
+    def test_close_returns_all_but_the_reserves_of_open_requests(self) -> None:
         log = Log()
         log.write("op", TopUp(ACCOUNT, 100, "t"))
         log.write("a", Grant(ACCOUNT, 60, 10))
@@ -152,7 +152,7 @@
         log.write("b", Bill("r", 3))
         assert available(log.balance) == 97
 
-    def test_release_gives_back_what_was_withheld(self) -> None:
+    def test_release_returns_what_was_withheld(self) -> None:
         log = Log()
         log.write("op", TopUp(ACCOUNT, 100, "t"))
         log.write("a", Grant(ACCOUNT, 60, 10))
@@ -190,7 +190,7 @@
         log.write("a", Bill("r1", 1))
         assert log.write("b", Intent("r3", ACCOUNT, 10, "p", "k")).code == VerdictCode.KEY_USED
 
-    def test_key_of_another_request_learns_nothing(self) -> None:
+    def test_key_with_another_digest_reveals_nothing(self) -> None:
         log = self.ready()
         log.write("a", Intent("r1", ACCOUNT, 10, "p", "k", digest=1))
         verdict = log.write("b", Lookup(ACCOUNT, "k", digest=2))
@@ -222,7 +222,7 @@
         assert log.balance.billed == 4
 
     def lost(self, key: str = "") -> Log:
-        """Return a log in which b settled a's request as not run."""
+        """Return a log in which `b` settled the request of `a` as not run."""
         log = self.ready()
         log.write("a", Intent("r", ACCOUNT, 10, "p", key))
         log.write("b", Fence("a", log.seqs["a"]))
@@ -230,24 +230,24 @@
         log.write("b", Bill("r", 0, Outcome.NOT_RUN))
         return log
 
-    def test_holder_that_ran_it_after_all_bills_it_once(self) -> None:
+    def test_holder_that_did_run_the_request_bills_it_once(self) -> None:
         log = self.lost("k")
         assert log.write("a", Bill("r", 5)).ok
         assert log.write("a", Bill("r", 5)).code == VerdictCode.NOT_OPEN
         assert log.balance.billed == 5
         assert log.write("b", Intent("r2", ACCOUNT, 10, "p", "k")).code == VerdictCode.KEY_USED
 
-    def test_holder_that_ran_it_is_too_late_once_the_key_is_taken(self) -> None:
+    def test_correction_is_refused_once_the_key_is_reused(self) -> None:
         log = self.lost("k")
         assert log.write("b", Intent("r2", ACCOUNT, 10, "p", "k")).ok
         late = log.write("a", Bill("r", 5))
         assert (late.code, late.outcome) == (VerdictCode.NOT_OPEN, Outcome.NOT_RUN)
 
-    def test_nobody_else_corrects_a_settlement(self) -> None:
+    def test_other_holders_can_not_correct_a_settlement(self) -> None:
         log = self.lost()
         assert log.write("c", Bill("r", 5)).code == VerdictCode.NOT_OPEN
 
-    def test_late_claim_of_a_fenced_holder_takes_no_room_from_what_was_sent(self) -> None:
+    def test_late_claims_of_a_fenced_holder_leave_the_exposure_of_sent_requests(self) -> None:
         log = self.ready()
         log.write("b", Fence("a", log.seqs["a"]))
         for number in range(2):
@@ -255,14 +255,14 @@
             assert log.write("a", claim).code == VerdictCode.FENCED
         assert log.write("a", Intent("sent", ACCOUNT, 20, "p", exposed=True)).ok
 
-    def test_late_extension_that_was_not_sent_is_refused(self) -> None:
+    def test_late_extension_is_refused_unless_exposed(self) -> None:
         log = self.ready()
         log.write("a", Intent("r", ACCOUNT, 10, "p"))
         log.write("b", Fence("a", log.seqs["a"]))
         assert log.write("a", Extend("r", 10)).code == VerdictCode.FENCED
         assert log.write("a", Extend("r", 10, exposed=True)).ok
 
-    def test_key_sent_without_its_claim_is_billed_once(self) -> None:
+    def test_key_used_by_an_exposed_request_is_billed_once(self) -> None:
         log = self.ready()
         log.write("a", Intent("r1", ACCOUNT, 10, "p", "k"))
         assert log.write("b", Intent("r2", ACCOUNT, 10, "p", "k", exposed=True)).ok
@@ -271,7 +271,7 @@
         assert (log.balance.billed, log.balance.wasted) == (7, 6)
         assert log.write("c", Lookup(ACCOUNT, "k")).request_id == "r2"
 
-    def test_key_sent_without_its_claim_is_waste_once_the_other_ended(self) -> None:
+    def test_exposed_request_is_waste_once_the_other_one_ended(self) -> None:
         log = self.ready()
         log.write("a", Intent("r1", ACCOUNT, 10, "p", "k"))
         log.write("b", Intent("r2", ACCOUNT, 10, "p", "k", exposed=True))
@@ -279,7 +279,7 @@
         assert log.write("b", Bill("r2", 7)).code == VerdictCode.WASTED
         assert (log.balance.billed, log.balance.wasted) == (6, 7)
 
-    def test_lost_claim_does_not_free_a_key_that_another_run_used(self) -> None:
+    def test_request_that_did_not_run_does_not_free_a_key_that_another_used(self) -> None:
         log = self.ready()
         log.write("a", Intent("r1", ACCOUNT, 10, "p", "k"))
         log.write("b", Intent("r2", ACCOUNT, 10, "p", "k", exposed=True))
@@ -287,12 +287,12 @@
         log.write("a", Bill("r1", 0, Outcome.NOT_RUN))
         assert log.write("c", Lookup(ACCOUNT, "k")).code == VerdictCode.KEY_USED
 
-    def test_stranger_can_not_bill(self) -> None:
+    def test_other_holders_can_not_bill(self) -> None:
         log = self.ready()
         log.write("a", Intent("r", ACCOUNT, 10, "p"))
         assert log.write("b", Bill("r", 5)).code == VerdictCode.NOT_OPEN
 
-    def test_extension_raises_the_reserve_and_waste_is_counted_apart(self) -> None:
+    def test_extension_raises_the_reserve_and_waste_is_counted_separately(self) -> None:
         log = self.ready()
         log.write("a", Intent("r", ACCOUNT, 10, "p"))
         assert log.write("a", Extend("r", 10)).ok
@@ -303,7 +303,7 @@
 
 
 class TestConfiguration:
-    def test_one_of_two_racing_operators_wins(self) -> None:
+    def test_one_of_two_concurrent_proposals_wins(self) -> None:
         log = Log()
         assert log.write("a", Proposal("template", "t", 0, b"1")).ok
         lost = log.write("b", Proposal("template", "t", 0, b"2"))
@@ -312,7 +312,7 @@
 
 
 class TestCheckpoint:
-    def test_state_survives_its_encoding(self) -> None:
+    def test_state_round_trips_through_its_encoding(self) -> None:
         log = TestRequests().ready()
         log.write("a", Intent("r", ACCOUNT, 10, "p", "k"))
         assert state_from_bytes(state_to_bytes(log.state)) == log.state
--- a/railtide/journal/tests/test_hedge.py
+++ b/railtide/journal/tests/test_hedge.py
@@ -10,13 +10,13 @@
 from railtide.journal.errors import EraRisen, LogUnavailable, RecordsExpired
 from railtide.journal.hedge import Attempt, Claim, hedged
 
-SILENT_S = 1.0
+HEDGE_AFTER_S = 1.0
 PAUSE_S = 0.1
 
 
 @dataclass(eq=False)
 class Scripted:
-    """An attempt: silent, then an answer that takes its time, or an error."""
+    """An attempt that waits and then answers over some time, or fails."""
 
     name: str
     begins_after_s: float
@@ -38,82 +38,80 @@
 
 
 @dataclass
-class Made:
-    """A hedged call, and what it told."""
+class HedgedCall:
+    """A hedged call, and what it reported to `on_unresponsive`."""
 
     first: Scripted
-    beside: Scripted
-    silences: list[LogUnavailable | None] = field(default_factory=list)
+    hedge: Scripted
+    reports: list[LogUnavailable | None] = field(default_factory=list)
 
     async def run(self) -> str:
-        pauses = Backoff(PAUSE_S, PAUSE_S, Random(1))
-        return await hedged(self.first, self.beside, SILENT_S, self.silences.append, pauses)
+        backoff = Backoff(PAUSE_S, PAUSE_S, Random(1))
+        return await hedged(self.first, self.hedge, HEDGE_AFTER_S, self.reports.append, backoff)
 
 
 NEVER = float("inf")
 
 
 class TestFirst:
-    async def test_answer_in_time_is_alone(self, autojump_clock) -> None:
-        made = Made(Scripted("first", 0.5, takes_s=60.0), Scripted("beside", 0.0))
-        assert await made.run() == "first"
-        assert made.beside.began_at == []
-        assert made.silences == []
-
-    async def test_slow_answer_counts_though_others_were_asked_beside_it(
-        self, autojump_clock
-    ) -> None:
-        made = Made(Scripted("first", 1.6, takes_s=5.0), Scripted("beside", 1.6))
+    async def test_answer_in_time_is_not_hedged(self, autojump_clock) -> None:
+        call = HedgedCall(Scripted("first", 0.5, takes_s=60.0), Scripted("hedge", 0.0))
+        assert await call.run() == "first"
+        assert call.hedge.began_at == []
+        assert call.reports == []
+
+    async def test_slow_answer_wins_although_a_hedge_was_made(self, autojump_clock) -> None:
+        call = HedgedCall(Scripted("first", 1.6, takes_s=5.0), Scripted("hedge", 1.6))
         began = trio.current_time()
-        assert await made.run() == "first"
+        assert await call.run() == "first"
         assert trio.current_time() - began == pytest.approx(6.6)
-        assert len(made.beside.began_at) == 1
-        assert made.silences == [None]
+        assert len(call.hedge.began_at) == 1
+        assert call.reports == [None]
 
     async def test_failure_is_raised_at_once(self, autojump_clock) -> None:
         lost = LogUnavailable("reset")
-        made = Made(Scripted("first", 0.2, error=lost), Scripted("beside", 0.0))
+        call = HedgedCall(Scripted("first", 0.2, error=lost), Scripted("hedge", 0.0))
         with pytest.raises(LogUnavailable, match="reset"):
-            await made.run()
-        assert made.silences == []
+            await call.run()
+        assert call.reports == []
 
-    async def test_failure_while_another_is_answered_changes_nothing(self, autojump_clock) -> None:
+    async def test_failure_while_a_hedge_is_answered_is_ignored(self, autojump_clock) -> None:
         lost = LogUnavailable("given up")
         first = Scripted("first", 2.0, error=lost)
-        made = Made(first, Scripted("beside", 0.1, takes_s=3.0))
-        assert await made.run() == "beside"
+        call = HedgedCall(first, Scripted("hedge", 0.1, takes_s=3.0))
+        assert await call.run() == "hedge"
 
 
-class TestBeside:
-    async def test_connection_that_is_gone_costs_the_usual_wait(self, autojump_clock) -> None:
-        made = Made(Scripted("first", NEVER), Scripted("beside", 0.004))
+class TestHedges:
+    async def test_dead_connection_costs_only_the_wait_for_the_hedge(self, autojump_clock) -> None:
+        call = HedgedCall(Scripted("first", NEVER), Scripted("hedge", 0.004))
         began = trio.current_time()
-        assert await made.run() == "beside"
-        assert trio.current_time() - began == pytest.approx(SILENT_S + 0.004)
+        assert await call.run() == "hedge"
+        assert trio.current_time() - began == pytest.approx(HEDGE_AFTER_S + 0.004)
 
-    async def test_failures_are_told_and_tried_again(self, autojump_clock) -> None:
+    async def test_failed_hedges_are_reported_and_repeated(self, autojump_clock) -> None:
         lost = LogUnavailable("silent")
-        made = Made(Scripted("first", 8.0, error=lost), Scripted("beside", 1.0, error=lost))
+        call = HedgedCall(Scripted("first", 8.0, error=lost), Scripted("hedge", 1.0, error=lost))
         with pytest.raises(LogUnavailable):
-            await made.run()
-        assert made.silences[0] is None
-        assert made.silences[1:] == [lost] * 6
+            await call.run()
+        assert call.reports[0] is None
+        assert call.reports[1:] == [lost] * 6
 
     async def test_answer_that_breaks_off_is_the_answer(self, autojump_clock) -> None:
         broken = LogUnavailable("broke off")
-        beside = Scripted("beside", 0.1, takes_s=1.0, error=broken, breaks=True)
-        made = Made(Scripted("first", 1.5), beside)
+        hedge = Scripted("hedge", 0.1, takes_s=1.0, error=broken, breaks=True)
+        call = HedgedCall(Scripted("first", 1.5), hedge)
         with pytest.raises(LogUnavailable, match="broke off"):
-            await made.run()
-        assert len(beside.began_at) == 1
+            await call.run()
+        assert len(hedge.began_at) == 1
 
-    @pytest.mark.parametrize("said", [EraRisen("risen"), RecordsExpired(7)])
-    async def test_word_on_the_store_ends_the_call(self, autojump_clock, said: Exception) -> None:
-        made = Made(Scripted("first", NEVER), Scripted("beside", 0.1, error=said))
-        with pytest.raises(type(said)):
-            await made.run()
+    @pytest.mark.parametrize("error", [EraRisen("risen"), RecordsExpired(7)])
+    async def test_conclusive_error_ends_the_call(self, autojump_clock, error: Exception) -> None:
+        call = HedgedCall(Scripted("first", NEVER), Scripted("hedge", 0.1, error=error))
+        with pytest.raises(type(error)):
+            await call.run()
 
-    async def test_one_answer_is_read_where_two_begin_at_one_moment(self, autojump_clock) -> None:
+    async def test_only_one_of_two_simultaneous_answers_is_read(self, autojump_clock) -> None:
         both_begin = trio.Event()
         read: list[str] = []
 
@@ -130,19 +128,19 @@
         async with trio.open_nursery() as nursery:
 
             async def begin_both() -> None:
-                await trio.sleep(SILENT_S + 0.5)
+                await trio.sleep(HEDGE_AFTER_S + 0.5)
                 both_begin.set()
 
             nursery.start_soon(begin_both)
-            pauses = Backoff(PAUSE_S, PAUSE_S, Random(1))
-            attempts = attempt_of("first"), attempt_of("beside")
-            name = await hedged(*attempts, SILENT_S, lambda err: None, pauses)
+            backoff = Backoff(PAUSE_S, PAUSE_S, Random(1))
+            attempts = attempt_of("first"), attempt_of("hedge")
+            name = await hedged(*attempts, HEDGE_AFTER_S, lambda err: None, backoff)
         assert read == [name]
 
 
 class TestCancellation:
-    async def test_caller_that_leaves_ends_all_attempts(self, autojump_clock) -> None:
-        made = Made(Scripted("first", NEVER), Scripted("beside", NEVER))
+    async def test_cancelled_caller_cancels_all_attempts(self, autojump_clock) -> None:
+        call = HedgedCall(Scripted("first", NEVER), Scripted("hedge", NEVER))
         with trio.move_on_after(5.0) as scope:
-            await made.run()
+            await call.run()
         assert scope.cancelled_caught
--- a/railtide/journal/tests/test_writer.py
+++ b/railtide/journal/tests/test_writer.py
@@ -35,7 +35,7 @@
         assert writer.apply_verdict(Verdict(1, VerdictCode.OK, 0)) is None
         assert writer.pending_bytes == 0
 
-    async def test_fenced_verdict_is_no_proof(self, autojump_clock) -> None:
+    async def test_fenced_verdict_does_not_update_unfenced_at(self, autojump_clock) -> None:
         writer = Writer("a", lambda entry, trace: None)
         await trio.sleep(1)
         writer.submit(Heartbeat())
--- a/railtide/membership/tests/test_addresses.py
+++ b/railtide/membership/tests/test_addresses.py
@@ -15,7 +15,7 @@
 
 class TestAddresses:
     @given(names=NAMES, count=st.integers(1, 5))
-    def test_are_distinct_and_as_many_as_asked(self, names: list[str], count: int) -> None:
+    def test_are_distinct_and_as_many_as_requested(self, names: list[str], count: int) -> None:
         chosen = endpoints_for("acc", endpoints(names), count)
         assert len(set(chosen)) == len(chosen) == min(count, len(names))
 
--- a/railtide/membership/tests/test_http_instance_list.py
+++ b/railtide/membership/tests/test_http_instance_list.py
@@ -1,4 +1,4 @@
-"""Tests of railtide.membership.http_instance_list: its limit is on silence, not on the whole."""
+"""Tests of railtide.membership.http_instance_list: timeouts limit stalls, not the whole call."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager, suppress
@@ -12,8 +12,8 @@
 from railtide.membership.http_instance_list import HttpInstanceList, open_http_instance_list
 from railtide.membership.instances import Instance
 
-SILENCE_S = 0.4
-PIECES = 20
+TIMEOUT_S = 0.4
+CHUNKS = 20
 INSTANCES = [
     Instance(f"engine-{number:05}", "1", "10.1.2.3:8000", "z", "engine") for number in range(1_000)
 ]
@@ -21,8 +21,8 @@
 
 @asynccontextmanager
 async def list_of(monkeypatch, pauses_s: list[float]) -> AsyncIterator[HttpInstanceList]:
-    """Yield the client of a list that comes in pieces, with a pause behind each."""
-    monkeypatch.setattr(module, "TIMEOUT_S", SILENCE_S)
+    """Yield the client of a list that is sent in chunks, with a pause after each."""
+    monkeypatch.setattr(module, "TIMEOUT_S", TIMEOUT_S)
     body = msgspec.json.encode(INSTANCES)
 
     async def serve(stream: trio.SocketStream) -> None:
@@ -43,12 +43,12 @@
         nursery.cancel_scope.cancel()
 
 
-class TestSilence:
+class TestTimeout:
     async def test_list_takes_as_long_as_its_bytes_need(self, monkeypatch) -> None:
-        async with list_of(monkeypatch, [0.05] * PIECES) as instances:
+        async with list_of(monkeypatch, [0.05] * CHUNKS) as instances:
             assert await instances.fetch() == INSTANCES
 
-    async def test_list_that_stops_is_given_up(self, monkeypatch) -> None:
+    async def test_stalled_list_times_out(self, monkeypatch) -> None:
         async with list_of(monkeypatch, [60.0, 0.0]) as instances:
             with trio.fail_after(20), pytest.raises(InstanceListUnavailable):
                 await instances.fetch()
--- a/railtide/membership/tests/test_newest_for_backlog.py
+++ b/railtide/membership/tests/test_outage_backlog.py
@@ -1,4 +1,4 @@
-"""What is lost where a feed reads the newest records in place of a backlog."""
+"""Effects of reading each key's newest record after an outage instead of the whole backlog."""
 
 from collections.abc import Callable
 from random import Random
@@ -21,58 +21,58 @@
 HEARTBEATS_PER_S = 0.8
 
 
-def cut_from(store: MemoryStore) -> MemoryStore:
-    """Return another way to the same store, which can be down by itself."""
-    way = MemoryStore()
-    way._topic_by_name = store._topic_by_name
-    return way
+def separate_client(store: MemoryStore) -> MemoryStore:
+    """Return another client of the same store, which can be down on its own."""
+    client = MemoryStore()
+    client._topic_by_name = store._topic_by_name
+    return client
 
 
-def beat(store: MemoryStore, name: str, number: int) -> None:
+def write_heartbeat(store: MemoryStore, name: str, number: int) -> None:
     member = Member(f"{name}-7f3a91c2d4e5", "10.21.32.43:18080", "zone-a", number, 200.0, 12.5)
     store.put(ROSTER.topic, name, msgspec.msgpack.encode(member))
 
 
-async def beat_for_ever(store: MemoryStore) -> None:
+async def write_heartbeats(store: MemoryStore) -> None:
     number = 0
     while True:
         number += 1
         for router in range(ROUTERS):
-            beat(store, f"edge-delta-a-{router}", number)
+            write_heartbeat(store, f"edge-delta-a-{router}", number)
         await trio.sleep(ROSTER.heartbeat_interval_s)
 
 
 class TestDeadRouters:
-    @pytest.mark.parametrize("cut_s", [5.0, 15.0])
-    async def test_router_that_died_long_ago_is_not_alive_behind_a_cut(
-        self, autojump_clock, cut_s: float
+    @pytest.mark.parametrize("outage_s", [5.0, 15.0])
+    async def test_router_that_died_long_ago_is_not_alive_after_an_outage(
+        self, autojump_clock, outage_s: float
     ) -> None:
-        """Its last record is among the newest for ever, and is no sign of life when read again."""
+        """Its last record stays in the topic forever; reading it again is no sign of life."""
         store = MemoryStore()
-        way = cut_from(store)
+        client = separate_client(store)
         own = Member("own-1", "10.0.0.1:80", "zone-b", 0)
-        roster = Roster(way, "own", own, ROSTER, Random(1))
-        beat(store, "died", 1)
+        roster = Roster(client, "own", own, ROSTER, Random(1))
+        write_heartbeat(store, "died", 1)
         seen_alive: list[float] = []
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(beat_for_ever, store)
+            nursery.start_soon(write_heartbeats, store)
             nursery.start_soon(roster.run, lambda: True)
             await trio.sleep(30.0)
             assert "died" not in {endpoint.name for endpoint in roster.live()}
-            way.down = True
-            await trio.sleep(cut_s)
-            way.down = False
-            back = trio.current_time()
-            while trio.current_time() - back < 15.0:
+            client.down = True
+            await trio.sleep(outage_s)
+            client.down = False
+            restored_at = trio.current_time()
+            while trio.current_time() - restored_at < 15.0:
                 await trio.sleep(0.1)
                 if "died" in {endpoint.name for endpoint in roster.live()}:
-                    seen_alive.append(round(trio.current_time() - back, 1))
+                    seen_alive.append(round(trio.current_time() - restored_at, 1))
             nursery.cancel_scope.cancel()
         assert not seen_alive, (seen_alive[0], seen_alive[-1])
 
 
 class Engines:
-    """An upstream list fed as `EdgeNode` does it."""
+    """An upstream list that is fed as by `EdgeNode`."""
 
     def __init__(self, store: MemoryStore) -> None:
         self.states: dict[str, InstanceState] = {}
@@ -117,47 +117,49 @@
                 self.listed.apply_pending()
 
 
-def say(store: MemoryStore, name: str, state: InstanceState) -> None:
+def write_state(store: MemoryStore, name: str, state: InstanceState) -> None:
     store.put("keyed.servers", name, f"{state} ".encode().ljust(ENGINE_BYTES, b"."))
 
 
-async def say_for_ever(store: MemoryStore, is_out: Callable[[str], bool], engines: int) -> None:
+async def write_live_states(
+    store: MemoryStore, has_left: Callable[[str], bool], engines: int
+) -> None:
     while True:
         for number in range(engines):
-            if not is_out(f"e{number}"):
-                say(store, f"e{number}", InstanceState.LIVE)
+            if not has_left(f"e{number}"):
+                write_state(store, f"e{number}", InstanceState.LIVE)
         await trio.sleep(1 / HEARTBEATS_PER_S)
 
 
 class TestDrainedEngines:
     @pytest.mark.parametrize("engines", [10, ENGINES])
-    async def test_engine_that_drained_and_left_in_a_cut_gets_no_work_behind_it(
+    async def test_engine_that_left_during_an_outage_gets_no_requests_after_it(
         self, autojump_clock, engines: int
     ) -> None:
-        """Its record that it leaves is in the backlog; among the newest it is merely missing."""
+        """Its leaving record is only in the backlog; among the newest records it is missing."""
         store = MemoryStore()
-        way = cut_from(store)
-        known = Engines(way)
-        out: set[str] = set()
+        client = separate_client(store)
+        known = Engines(client)
+        left: set[str] = set()
         live_for: list[float] = []
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(say_for_ever, store, out.__contains__, engines)
+            nursery.start_soon(write_live_states, store, left.__contains__, engines)
             nursery.start_soon(known.run)
             await trio.sleep(5.0)
             assert known.states["e7"] is InstanceState.LIVE
-            way.down = True
+            client.down = True
             await trio.sleep(1.0)
-            out.add("e7")
-            say(store, "e7", InstanceState.LEAVING)
+            left.add("e7")
+            write_state(store, "e7", InstanceState.LEAVING)
             await trio.sleep(2.5)
             store.put("keyed.servers", "e7", b"")
             await trio.sleep(1.0)
-            way.down = False
-            back = trio.current_time()
-            while trio.current_time() - back < 4.0:
+            client.down = False
+            restored_at = trio.current_time()
+            while trio.current_time() - restored_at < 4.0:
                 await trio.sleep(0.05)
-                is_back = known.feed.reachable
-                if is_back and known.states.get("e7") is InstanceState.LIVE:
-                    live_for.append(round(trio.current_time() - back, 2))
+                is_reachable = known.feed.reachable
+                if is_reachable and known.states.get("e7") is InstanceState.LIVE:
+                    live_for.append(round(trio.current_time() - restored_at, 2))
             nursery.cancel_scope.cancel()
         assert not live_for, (live_for[0], live_for[-1])
--- a/railtide/membership/tests/test_roster.py
+++ b/railtide/membership/tests/test_roster.py
@@ -13,14 +13,16 @@
 from railtide.upstreams.stated_limit import LimitNews
 
 OPTIONS = RosterOptions()
-LEAST = OPTIONS.selection.min_routers
+MIN_ROUTERS = OPTIONS.selection.min_routers
 FLEET = 6
 SETTLED_S = 6.0
-"""In which routers find one another and count as named or not."""
+"""Time in which routers find one another and agree on whom to advertise."""
 
 
-def roster(store: MemoryStore, name: str, life: str = "1") -> Roster:
-    return Roster(store, name, Member(f"{name}-{life}", f"{name}:1", "z", 0), OPTIONS, Random(1))
+def roster(store: MemoryStore, name: str, incarnation: str = "1") -> Roster:
+    return Roster(
+        store, name, Member(f"{name}-{incarnation}", f"{name}:1", "z", 0), OPTIONS, Random(1)
+    )
 
 
 def names(made: Roster) -> list[str]:
@@ -28,7 +30,7 @@
 
 
 async def start(nursery: trio.Nursery, made: Roster) -> trio.CancelScope:
-    """Run a roster that is ready; return what stops it."""
+    """Run a roster that is ready; return the scope that stops it."""
     scope = trio.CancelScope()
 
     async def run() -> None:
@@ -52,7 +54,7 @@
 
 @asynccontextmanager
 async def fleet(load: float, store: MemoryStore) -> AsyncIterator[list[Roster]]:
-    """Yield the rosters of six routers of a load each, which know one another."""
+    """Yield the rosters of six routers with the same load that know one another."""
     made = [loaded(store, f"r{n}", load) for n in range(FLEET)]
     async with trio.open_nursery() as nursery:
         for each in made:
@@ -62,31 +64,29 @@
         nursery.cancel_scope.cancel()
 
 
-class TestNaming:
-    async def test_all_routers_name_the_same_few(self, autojump_clock) -> None:
+class TestSelection:
+    async def test_all_routers_advertise_the_same_few(self, autojump_clock) -> None:
         async with fleet(0.0, MemoryStore()) as made:
             chosen = {tuple(endpoint.name for endpoint in each.advertised()) for each in made}
             assert len(chosen) == 1
-            assert len(chosen.pop()) == LEAST
-            assert sum(each.is_advertised() for each in made) == LEAST
+            assert len(chosen.pop()) == MIN_ROUTERS
+            assert sum(each.is_advertised() for each in made) == MIN_ROUTERS
 
-    async def test_load_names_more(self, autojump_clock) -> None:
+    async def test_load_advertises_more(self, autojump_clock) -> None:
         async with fleet(20.0, MemoryStore()) as made:
             assert len(made[0].advertised()) == 5
 
-    async def test_router_that_is_not_named_writes_less_often_and_counts_as_alive(
-        self, autojump_clock
-    ) -> None:
+    async def test_idle_router_writes_less_often_and_counts_as_alive(self, autojump_clock) -> None:
         store = MemoryStore()
         async with fleet(0.0, store) as made:
             before = store.topic(OPTIONS.topic).end
             await trio.sleep(30)
             written = store.topic(OPTIONS.topic).end - before
-            idle = FLEET - LEAST
-            assert LEAST * 29 + idle * 8 <= written <= LEAST * 31 + idle * 12
+            idle = FLEET - MIN_ROUTERS
+            assert MIN_ROUTERS * 29 + idle * 8 <= written <= MIN_ROUTERS * 31 + idle * 12
             assert len(made[0].live()) == FLEET
 
-    async def test_another_is_named_in_place_of_one_that_died(self, autojump_clock) -> None:
+    async def test_another_is_advertised_in_place_of_a_dead_one(self, autojump_clock) -> None:
         store = MemoryStore()
         made = {f"r{n}": loaded(store, f"r{n}", 0.0) for n in range(FLEET)}
         async with trio.open_nursery() as nursery:
@@ -97,14 +97,14 @@
             await trio.sleep(OPTIONS.dead_after_s + 3)
             survivor = made[named[1]]
             assert named[0] not in [endpoint.name for endpoint in survivor.advertised()]
-            assert len(survivor.advertised()) == LEAST
+            assert len(survivor.advertised()) == MIN_ROUTERS
             nursery.cancel_scope.cancel()
 
 
-class TestBehind:
-    """A router that knows of a newer configuration says so, and others are named before it."""
+class TestOutdated:
+    """A router that lacks a newer configuration announces it; others are advertised first."""
 
-    async def test_another_is_named_in_its_place_until_it_is_current(self, autojump_clock) -> None:
+    async def test_another_is_advertised_until_it_is_current(self, autojump_clock) -> None:
         store = MemoryStore()
         outdated: set[str] = set()
         made = {
@@ -118,7 +118,7 @@
             named = made["r0"].advertised()
             outdated.add(named[0].name)
             await trio.sleep(SETTLED_S)
-            assert len(made["r0"].advertised()) == LEAST
+            assert len(made["r0"].advertised()) == MIN_ROUTERS
             assert named[0] not in made["r0"].advertised()
             assert len(made["r0"].live()) == FLEET
             outdated.clear()
@@ -126,7 +126,7 @@
             assert made["r0"].advertised() == named
             nursery.cancel_scope.cancel()
 
-    async def test_all_are_named_as_before_where_all_are(self, autojump_clock) -> None:
+    async def test_selection_is_unchanged_if_all_are_outdated(self, autojump_clock) -> None:
         store = MemoryStore()
         outdated: list[bool] = []
         made = [
@@ -142,7 +142,9 @@
             assert made[0].advertised() == named
             nursery.cancel_scope.cancel()
 
-    async def test_idle_router_says_so_within_a_beat(self, autojump_clock) -> None:
+    async def test_idle_router_announces_it_within_a_heartbeat_interval(
+        self, autojump_clock
+    ) -> None:
         store = MemoryStore()
         outdated: list[bool] = []
         made = [
@@ -161,8 +163,8 @@
             await trio.sleep(SETTLED_S)
             written = store.topic(OPTIONS.topic).end
             await trio.sleep(30)
-            most = LEAST * 31 + (FLEET - LEAST) * 12
-            assert store.topic(OPTIONS.topic).end - written <= most
+            max_records = MIN_ROUTERS * 31 + (FLEET - MIN_ROUTERS) * 12
+            assert store.topic(OPTIONS.topic).end - written <= max_records
             nursery.cancel_scope.cancel()
 
 
@@ -177,7 +179,7 @@
             assert names(first) == names(second) == ["a", "b"]
             nursery.cancel_scope.cancel()
 
-    async def test_silent_router_is_not_named_any_more(self, autojump_clock) -> None:
+    async def test_silent_router_is_no_longer_live(self, autojump_clock) -> None:
         store = MemoryStore()
         first, second = roster(store, "a"), roster(store, "b")
         async with trio.open_nursery() as nursery:
@@ -189,7 +191,7 @@
             assert names(first) == ["a"]
             nursery.cancel_scope.cancel()
 
-    async def test_store_that_is_away_makes_nobody_dead(self, autojump_clock) -> None:
+    async def test_outage_of_the_store_makes_no_router_dead(self, autojump_clock) -> None:
         store = MemoryStore()
         first, second = roster(store, "a"), roster(store, "b")
         async with trio.open_nursery() as nursery:
@@ -204,7 +206,7 @@
             assert names(first) == ["a", "b"]
             nursery.cancel_scope.cancel()
 
-    async def test_leaving_router_is_not_named_from_the_next_read_on(self, autojump_clock) -> None:
+    async def test_leaving_router_is_not_live_after_the_next_read(self, autojump_clock) -> None:
         store = MemoryStore()
         first, second = roster(store, "a"), roster(store, "b")
         async with trio.open_nursery() as nursery:
@@ -216,7 +218,7 @@
             assert names(first) == ["a"]
             nursery.cancel_scope.cancel()
 
-    async def test_beat_under_way_does_not_bring_a_leaving_router_back(
+    async def test_heartbeat_in_progress_does_not_revive_a_leaving_router(
         self, autojump_clock
     ) -> None:
         store = MemoryStore()
@@ -231,7 +233,7 @@
             assert names(made) == []
             nursery.cancel_scope.cancel()
 
-    async def test_unreadable_record_is_passed_over(self, autojump_clock) -> None:
+    async def test_unreadable_record_is_skipped(self, autojump_clock) -> None:
         store = MemoryStore()
         store.put(OPTIONS.topic, "x", b"\xc1")
         made = roster(store, "a")
@@ -243,14 +245,14 @@
 
 
 OLD = ["x-1", "x:1", "z", 1, 10.0, 0.0, 1.0]
-"""What a router of the version before writes."""
+"""A record of the previous release."""
 WITHOUT_LIMITS = [*OLD, False, 2, 1, [7, 0, 3]]
-SOUND = [*WITHOUT_LIMITS, [["e1", "e1/1", 1.5, 0.5]]]
+VALID = [*WITHOUT_LIMITS, [["e1", "e1/1", 1.5, 0.5]]]
 NAN, INF = float("nan"), float("inf")
 
 
 def changed(index: int, value: object) -> list[object]:
-    return [*SOUND[:index], value, *SOUND[index + 1 :]]
+    return [*VALID[:index], value, *VALID[index + 1 :]]
 
 
 class TestForeignRecords:
@@ -281,12 +283,12 @@
             changed(11, [["e1", "e1/1", 1.5, -1.0]]),
             changed(11, [["e1", "e1/1", 1.5, INF]]),
             changed(11, [[7, "e1/1", 1.5, 0.5]]),
-            SOUND[:3],
+            VALID[:3],
             {"address": "x:1"},
             7,
         ],
     )
-    async def test_record_of_another_writer_names_no_router(self, member, autojump_clock, lines):
+    async def test_invalid_record_is_no_router(self, member, autojump_clock, lines):
         store = MemoryStore()
         async with trio.open_nursery() as nursery:
             made = roster(store, "a")
@@ -301,9 +303,9 @@
             nursery.cancel_scope.cancel()
 
     @pytest.mark.parametrize(
-        "record", [OLD, [*OLD, False], WITHOUT_LIMITS, SOUND, [*SOUND, "of a later version"]]
+        "record", [OLD, [*OLD, False], WITHOUT_LIMITS, VALID, [*VALID, "of a later version"]]
     )
-    async def test_sound_record_names_a_router(self, record, autojump_clock) -> None:
+    async def test_valid_record_is_a_router(self, record, autojump_clock) -> None:
         store = MemoryStore()
         async with trio.open_nursery() as nursery:
             made = roster(store, "a")
@@ -315,8 +317,8 @@
             nursery.cancel_scope.cancel()
 
 
-class TestStoreThatComesBackOlder:
-    async def test_router_that_left_is_not_brought_back(self, autojump_clock) -> None:
+class TestRollback:
+    async def test_router_that_left_is_not_revived(self, autojump_clock) -> None:
         store = MemoryStore(era=1)
         made, other = roster(store, "a"), roster(store, "b")
         async with trio.open_nursery() as nursery:
@@ -334,7 +336,7 @@
                 assert names(made) == ["a"]
             nursery.cancel_scope.cancel()
 
-    async def test_routers_that_live_stay(self, autojump_clock) -> None:
+    async def test_live_routers_stay(self, autojump_clock) -> None:
         store = MemoryStore(era=1)
         copy = store.copy()
         made, other = roster(store, "a"), roster(store, "b")
@@ -348,7 +350,7 @@
                 assert names(made) == names(other) == ["a", "b"]
             nursery.cancel_scope.cancel()
 
-    async def test_beat_is_written_at_once(self, autojump_clock) -> None:
+    async def test_heartbeat_is_written_at_once(self, autojump_clock) -> None:
         store = MemoryStore(era=1)
         copy = store.copy()
         made = roster(store, "a")
@@ -360,7 +362,7 @@
             assert store.topic(OPTIONS.topic).end == 1
             nursery.cancel_scope.cancel()
 
-    async def test_router_of_the_copy_that_is_not_heard_is_dead(self, autojump_clock) -> None:
+    async def test_router_of_the_copy_without_heartbeats_is_dead(self, autojump_clock) -> None:
         store = MemoryStore(era=1)
         made, other = roster(store, "a"), roster(store, "b")
         async with trio.open_nursery() as nursery:
@@ -377,37 +379,37 @@
 
 
 class TestLimitNews:
-    async def test_it_reaches_others_and_not_from_a_backlog(self, autojump_clock) -> None:
+    async def test_reaches_others_but_not_from_a_backlog(self, autojump_clock) -> None:
         store = MemoryStore()
         news = (LimitNews("e1", "e1/1", 1.5, 0.5),)
-        told = Member("a-1", "a:1", "z", 0)
-        teller = Roster(store, "a", told, OPTIONS, Random(1), limit_news=lambda: news)
-        heard: list[tuple[LimitNews, ...]] = []
-        listener = roster(store, "b")
-        listener.on_limits = heard.append
+        member = Member("a-1", "a:1", "z", 0)
+        sender = Roster(store, "a", member, OPTIONS, Random(1), limit_news=lambda: news)
+        received: list[tuple[LimitNews, ...]] = []
+        receiver = roster(store, "b")
+        receiver.on_limits = received.append
         async with trio.open_nursery() as nursery:
-            await start(nursery, teller)
-            await start(nursery, listener)
+            await start(nursery, sender)
+            await start(nursery, receiver)
             await trio.sleep(8)
-            assert heard and set(heard) == {news}
+            assert received and set(received) == {news}
             store.down = True
             await trio.sleep(5)
-            heard.clear()
+            received.clear()
             store.down = False
             await trio.sleep(2)
-            assert heard == []
+            assert received == []
             await trio.sleep(6)
-            assert heard
+            assert received
             nursery.cancel_scope.cancel()
 
-    async def test_one_record_tells_of_so_many_at_the_most(self, autojump_clock) -> None:
+    async def test_limits_in_one_record_are_bounded(self, autojump_clock) -> None:
         store = MemoryStore()
         news = tuple(LimitNews(f"e{n}", "life", 1.5, 0.5) for n in range(MAX_LIMITS + 1))
-        teller = Roster(
+        sender = Roster(
             store, "a", Member("a-1", "a:1", "z", 0), OPTIONS, Random(1), limit_news=lambda: news
         )
         async with trio.open_nursery() as nursery:
-            await start(nursery, teller)
+            await start(nursery, sender)
             await trio.sleep(2)
             record = store.topic(OPTIONS.topic).newest_by_key["a"]
             assert len(msgspec.msgpack.decode(record.value)[11]) == MAX_LIMITS
--- a/railtide/membership/tests/test_roster_eras.py
+++ b/railtide/membership/tests/test_roster_eras.py
@@ -1,4 +1,4 @@
-"""Tests of what railtide.membership.roster tells of routers over a store that comes back older."""
+"""Tests of what railtide.membership.roster reports about routers after a rollback of the store."""
 
 import math
 from random import Random
@@ -13,16 +13,16 @@
 OPTIONS = RosterOptions()
 
 
-def reading(store: MemoryStore, name: str, *ends: int, life: str = "1") -> Roster:
-    """Return a router's roster that says up to where it has read the ledgers."""
-    member = Member(f"{name}-{life}", f"{name}:1", name, 0)
-    return Roster(store, name, member, OPTIONS, Random(1), read_offsets=lambda: ends)
+def roster_of(store: MemoryStore, name: str, *offsets: int, incarnation: str = "1") -> Roster:
+    """Return the roster of a router that has read the ledgers up to these offsets."""
+    member = Member(f"{name}-{incarnation}", f"{name}:1", name, 0)
+    return Roster(store, name, member, OPTIONS, Random(1), read_offsets=lambda: offsets)
 
 
-class TestReading:
-    async def test_least_of_the_others_counts(self, autojump_clock) -> None:
+class TestMinReadOffset:
+    async def test_lowest_offset_of_the_others_counts(self, autojump_clock) -> None:
         store = MemoryStore(era=1)
-        made, other = reading(store, "a", 1, 1), reading(store, "b", 8, 5)
+        made, other = roster_of(store, "a", 1, 1), roster_of(store, "b", 8, 5)
         async with trio.open_nursery() as nursery:
             for each in (made, other):
                 await start(nursery, each)
@@ -31,9 +31,9 @@
             assert other.min_read_offset(0, {}) == 1
             nursery.cancel_scope.cancel()
 
-    async def test_ledgers_may_tell_of_more(self, autojump_clock) -> None:
+    async def test_ledgers_may_report_a_higher_offset(self, autojump_clock) -> None:
         store = MemoryStore(era=1)
-        made, other = reading(store, "a", 1), reading(store, "b", 8)
+        made, other = roster_of(store, "a", 1), roster_of(store, "b", 8)
         async with trio.open_nursery() as nursery:
             for each in (made, other):
                 await start(nursery, each)
@@ -42,18 +42,18 @@
             assert made.min_read_offset(0, {("b", "b-0"): 11}) == 8
             nursery.cancel_scope.cancel()
 
-    async def test_router_that_is_alone_waits_for_nobody(self, autojump_clock) -> None:
+    async def test_single_router_waits_for_no_other(self, autojump_clock) -> None:
         store = MemoryStore(era=1)
-        made = reading(store, "a", 1)
+        made = roster_of(store, "a", 1)
         async with trio.open_nursery() as nursery:
             await start(nursery, made)
             await trio.sleep(SETTLED_S)
             assert made.min_read_offset(0, {}) == math.inf
             nursery.cancel_scope.cancel()
 
-    async def test_silent_one_is_waited_for_until_it_counts_as_dead(self, autojump_clock) -> None:
+    async def test_silent_router_counts_until_it_is_considered_dead(self, autojump_clock) -> None:
         store = MemoryStore(era=1)
-        made, other = reading(store, "a", 1), reading(store, "b", 8)
+        made, other = roster_of(store, "a", 1), roster_of(store, "b", 8)
         async with trio.open_nursery() as nursery:
             await start(nursery, made)
             stopped = await start(nursery, other)
@@ -65,9 +65,9 @@
             assert made.min_read_offset(0, {}) == math.inf
             nursery.cancel_scope.cancel()
 
-    async def test_beat_of_a_former_era_tells_nothing(self, autojump_clock) -> None:
+    async def test_heartbeat_of_a_former_era_counts_as_nothing_read(self, autojump_clock) -> None:
         store = MemoryStore(era=1)
-        made, other = reading(store, "a", 1), reading(store, "b", 8)
+        made, other = roster_of(store, "a", 1), roster_of(store, "b", 8)
         async with trio.open_nursery() as nursery:
             await start(nursery, made)
             stopped = await start(nursery, other)
@@ -78,13 +78,13 @@
             assert made.min_read_offset(0, {}) == 0
             nursery.cancel_scope.cancel()
 
-    async def test_router_of_a_former_release_is_not_waited_for(self, autojump_clock) -> None:
+    async def test_router_of_a_former_release_is_left_out(self, autojump_clock) -> None:
         store = MemoryStore(era=1)
-        made = reading(store, "a", 1)
+        made = roster_of(store, "a", 1)
         async with trio.open_nursery() as nursery:
             await start(nursery, made)
-            for beat in range(6):
-                former = ["b-1", "b:1", "z", beat, 10.0, 0.0, 1.0, False]
+            for seq in range(6):
+                former = ["b-1", "b:1", "z", seq, 10.0, 0.0, 1.0, False]
                 store.put(OPTIONS.topic, "b", msgspec.msgpack.encode(former))
                 await trio.sleep(1.0)
             assert "b" in [endpoint.name for endpoint in made.advertised()]
@@ -92,10 +92,10 @@
             nursery.cancel_scope.cancel()
 
 
-class TestGone:
-    async def test_router_that_is_heard_again_is_not(self, autojump_clock) -> None:
+class TestLostRouters:
+    async def test_router_that_writes_in_the_new_era_is_not_lost(self, autojump_clock) -> None:
         store = MemoryStore(era=1)
-        made, other = reading(store, "a"), reading(store, "b")
+        made, other = roster_of(store, "a"), roster_of(store, "b")
         async with trio.open_nursery() as nursery:
             for each in (made, other):
                 await start(nursery, each)
@@ -111,9 +111,9 @@
             )
             nursery.cancel_scope.cancel()
 
-    async def test_router_that_died_is(self, autojump_clock) -> None:
+    async def test_router_that_died_is_lost(self, autojump_clock) -> None:
         store = MemoryStore(era=1)
-        made, other = reading(store, "a"), reading(store, "b")
+        made, other = roster_of(store, "a"), roster_of(store, "b")
         async with trio.open_nursery() as nursery:
             await start(nursery, made)
             stopped = await start(nursery, other)
@@ -130,36 +130,36 @@
             )
             nursery.cancel_scope.cancel()
 
-    async def test_process_that_was_replaced_is(self, autojump_clock) -> None:
+    async def test_replaced_process_is_lost(self, autojump_clock) -> None:
         store = MemoryStore(era=1)
-        made, other = reading(store, "a"), reading(store, "b")
+        made, other = roster_of(store, "a"), roster_of(store, "b")
         async with trio.open_nursery() as nursery:
             await start(nursery, made)
             stopped = await start(nursery, other)
             await trio.sleep(SETTLED_S)
             stopped.cancel()
             store.roll_back(store.copy())
-            await start(nursery, reading(store, "b", life="2"))
+            await start(nursery, roster_of(store, "b", incarnation="2"))
             await trio.sleep(2.0)
             assert made.lost_routers(2, last_opened=1) == 1
             nursery.cancel_scope.cancel()
 
-    async def test_process_that_nobody_had_heard_of_is(self, autojump_clock) -> None:
-        """It was not seen before the rise: there may have been another before it."""
+    async def test_unknown_process_counts_as_a_lost_one(self, autojump_clock) -> None:
+        """It was not seen before the rise, so another process may have preceded it."""
         store = MemoryStore(era=1)
-        made = reading(store, "a")
+        made = roster_of(store, "a")
         async with trio.open_nursery() as nursery:
             await start(nursery, made)
             await trio.sleep(SETTLED_S)
             store.roll_back(store.copy())
-            await start(nursery, reading(store, "b"))
+            await start(nursery, roster_of(store, "b"))
             await trio.sleep(2.0)
             assert made.lost_routers(2, last_opened=1) == 1
             nursery.cancel_scope.cancel()
 
-    async def test_router_that_had_left_is_not(self, autojump_clock) -> None:
+    async def test_router_that_had_left_is_not_lost(self, autojump_clock) -> None:
         store = MemoryStore(era=1)
-        made, other = reading(store, "a"), reading(store, "b")
+        made, other = roster_of(store, "a"), roster_of(store, "b")
         async with trio.open_nursery() as nursery:
             await start(nursery, made)
             stopped = await start(nursery, other)
@@ -173,48 +173,46 @@
             assert made.lost_routers(2, last_opened=1) == 0
             nursery.cancel_scope.cancel()
 
-    async def test_one_that_starts_in_the_era_misses_all_that_the_copy_shows(
-        self, autojump_clock
-    ) -> None:
+    async def test_new_process_counts_all_routers_of_the_copy_as_lost(self, autojump_clock) -> None:
         store = MemoryStore(era=1)
-        made, other = reading(store, "a"), reading(store, "b")
+        made, other = roster_of(store, "a"), roster_of(store, "b")
         async with trio.open_nursery() as nursery:
             stopped = [await start(nursery, each) for each in (made, other)]
             await trio.sleep(SETTLED_S)
             for scope in stopped:
                 scope.cancel()
             store.roll_back(store.copy())
-            fresh = reading(store, "a", life="2")
-            await start(nursery, fresh)
+            restarted = roster_of(store, "a", incarnation="2")
+            await start(nursery, restarted)
             await trio.sleep(2.0)
             assert (
-                fresh.lost_routers(2, last_opened=1),
-                fresh.heard_from_former(2, last_opened=1),
+                restarted.lost_routers(2, last_opened=1),
+                restarted.heard_from_former(2, last_opened=1),
             ) == (2, False)
             nursery.cancel_scope.cancel()
 
-    async def test_it_does_not_miss_those_that_lived_through(self, autojump_clock) -> None:
+    async def test_new_process_does_not_count_survivors_as_lost(self, autojump_clock) -> None:
         store = MemoryStore(era=1)
-        made, other = reading(store, "a"), reading(store, "b")
+        made, other = roster_of(store, "a"), roster_of(store, "b")
         async with trio.open_nursery() as nursery:
             stopped = await start(nursery, made)
             await start(nursery, other)
             await trio.sleep(SETTLED_S)
             stopped.cancel()
             store.roll_back(store.copy())
-            fresh = reading(store, "a", life="2")
-            await start(nursery, fresh)
+            restarted = roster_of(store, "a", incarnation="2")
+            await start(nursery, restarted)
             await trio.sleep(2.0)
             assert (
-                fresh.lost_routers(2, last_opened=1),
-                fresh.heard_from_former(2, last_opened=1),
+                restarted.lost_routers(2, last_opened=1),
+                restarted.heard_from_former(2, last_opened=1),
             ) == (1, False)
             nursery.cancel_scope.cancel()
 
-    async def test_one_of_an_era_that_was_never_open_knows_nothing(self, autojump_clock) -> None:
-        """All died; the store comes back from the same copy before the era could be opened."""
+    async def test_process_of_an_era_without_grants_is_no_survivor(self, autojump_clock) -> None:
+        """All routers died, and the store is rolled back again before grants were made."""
         store = MemoryStore(era=1)
-        made, other = reading(store, "a"), reading(store, "b")
+        made, other = roster_of(store, "a"), roster_of(store, "b")
         async with trio.open_nursery() as nursery:
             stopped = [await start(nursery, each) for each in (made, other)]
             await trio.sleep(SETTLED_S)
@@ -222,14 +220,14 @@
             for scope in stopped:
                 scope.cancel()
             store.roll_back(copy)
-            fresh = [reading(store, name, life="2") for name in ("a", "b")]
-            for each in fresh:
+            restarted = [roster_of(store, name, incarnation="2") for name in ("a", "b")]
+            for each in restarted:
                 await start(nursery, each)
             await trio.sleep(2.0)
             store.roll_back(copy)
             await trio.sleep(2.0)
             assert (
-                fresh[0].lost_routers(3, last_opened=1),
-                fresh[0].heard_from_former(3, last_opened=1),
+                restarted[0].lost_routers(3, last_opened=1),
+                restarted[0].heard_from_former(3, last_opened=1),
             ) == (2, False)
             nursery.cancel_scope.cancel()
--- a/railtide/membership/tests/test_router_selection.py
+++ b/railtide/membership/tests/test_router_selection.py
@@ -48,36 +48,36 @@
 
 FLEETS = fleets(300.0)
 SPARE_FLEETS = fleets(15.0)
-"""Of which not all are needed."""
+"""Fleets that don't need all their routers."""
 
 
-class TestChosenEntrances:
+class TestSelectRouters:
     @given(fleet=FLEETS, seed=st.randoms(use_true_random=False))
-    def test_all_routers_choose_alike(self, fleet: list[Candidate], seed) -> None:
+    def test_selection_does_not_depend_on_the_order(self, fleet: list[Candidate], seed) -> None:
         shuffled = list(fleet)
         seed.shuffle(shuffled)
         assert sorted(names(shuffled)) == sorted(names(fleet))
 
     @given(fleet=FLEETS)
-    def test_carry_the_load_or_are_all(self, fleet: list[Candidate]) -> None:
+    def test_selected_routers_carry_the_load_or_are_all(self, fleet: list[Candidate]) -> None:
         chosen = names(fleet)
         capacity = sum(c.capacity for c in fleet if c.endpoint.name in chosen)
         load = sum(c.load for c in fleet)
         assert len(chosen) == len(fleet) or capacity * OPTIONS.max_utilization >= load * 0.999
 
     @given(fleet=FLEETS)
-    def test_least_are_named_whatever_the_load(self, fleet: list[Candidate]) -> None:
+    def test_minimum_is_selected_at_any_load(self, fleet: list[Candidate]) -> None:
         assert len(names(fleet)) >= min(OPTIONS.min_routers, len(fleet))
 
-    def test_stand_in_different_failure_domains(self) -> None:
+    def test_selected_routers_are_in_different_failure_domains(self) -> None:
         fleet = [candidate(f"{domain}{n}", domain) for domain in "abc" for n in range(4)]
         assert {name[0] for name in names(fleet)} == set("abc")
 
-    def test_are_the_largest_of_their_failure_domain(self) -> None:
+    def test_largest_of_a_failure_domain_is_selected(self) -> None:
         fleet = [candidate("small", "a", 80.0), candidate("large", "a", 400.0)]
         assert names(fleet, SelectionOptions(min_routers=1)) == ["large"]
 
-    def test_loss_of_one_moves_only_its_place(self) -> None:
+    def test_loss_of_one_replaces_only_that_one(self) -> None:
         fleet = [candidate(f"{domain}{n}", domain) for domain in "abc" for n in range(4)]
         before = names(fleet)
         after = names([c for c in fleet if c.endpoint.name != before[0]])
@@ -85,11 +85,11 @@
         assert set(before[1:]) <= set(after)
 
 
-class TestRoutersBehind:
-    """A router that knows of a newer configuration and does not have it is named last."""
+class TestOutdatedRouters:
+    """Routers that know of a newer configuration but lack it are selected last."""
 
     @given(fleet=st.one_of(FLEETS, SPARE_FLEETS))
-    def test_are_named_only_where_the_current_ones_dont_carry_the_load(
+    def test_are_selected_only_if_the_current_ones_can_not_carry_the_load(
         self, fleet: list[Candidate]
     ) -> None:
         current = [c for c in fleet if not c.outdated]
@@ -102,31 +102,31 @@
         assert len(current) < OPTIONS.min_routers or capacity * OPTIONS.max_utilization < load
 
     @given(fleet=FLEETS)
-    def test_are_named_where_all_are_behind(self, fleet: list[Candidate]) -> None:
+    def test_are_selected_as_usual_if_all_are_outdated(self, fleet: list[Candidate]) -> None:
         outdated = [replace(c, outdated=True) for c in fleet]
         current = [replace(c, outdated=False) for c in fleet]
         assert names(outdated) == names(current)
 
-    def test_largest_gives_way_to_current_ones(self) -> None:
+    def test_current_routers_precede_a_larger_outdated_one(self) -> None:
         fleet = [candidate("large", "a", 400.0, outdated=True)]
         fleet += [candidate("a1", "a"), candidate("b1", "b")]
         assert sorted(names(fleet, SelectionOptions(min_routers=2))) == ["a1", "b1"]
 
     def test_one_joins_a_single_current_router(self) -> None:
-        """The loss of one router of those that are named has to leave one."""
+        """One advertised router must remain after the loss of another."""
         fleet = [candidate("a1", "a"), candidate("b1", "b", outdated=True)]
         assert names(fleet, SelectionOptions(min_routers=2)) == ["a1", "b1"]
 
 
-class TestVisits:
-    def test_router_that_is_asked_as_much_counts_though_it_is_not_named(self) -> None:
+class TestRouterTraffic:
+    def test_router_with_comparable_load_is_active_though_not_advertised(self) -> None:
         fleet = [candidate("a", load=20.0), candidate("b", load=6.0), candidate("c", load=4.0)]
         traffic = router_traffic(fleet, [fleet[0].endpoint])
         assert traffic == RouterTraffic(("a", "b"), ("c",))
 
-    def test_before_any_traffic_only_named_routers_count(self) -> None:
+    def test_without_any_traffic_only_advertised_routers_are_active(self) -> None:
         fleet = [candidate(name, load=0.0) for name in "abc"]
         assert router_traffic(fleet, [fleet[1].endpoint]) == RouterTraffic(("b",), ("a", "c"))
 
-    def test_nobody_lives(self) -> None:
+    def test_no_live_router(self) -> None:
         assert router_traffic([], []) == RouterTraffic()
--- a/railtide/membership/tests/test_upstream_list.py
+++ b/railtide/membership/tests/test_upstream_list.py
@@ -17,7 +17,7 @@
 
 
 class Case:
-    """A list whose changes are kept by pool."""
+    """An upstream list and the upstreams that it reported last, by pool."""
 
     def __init__(self, lapse_until: float = 0.0) -> None:
         self.names_by_pool: dict[str, list[str]] = {}
@@ -29,7 +29,7 @@
 
 
 class TestUpstreamList:
-    async def test_removed_upstream_goes_at_once(self, autojump_clock) -> None:
+    async def test_removed_upstream_is_dropped_at_once(self, autojump_clock) -> None:
         case = Case()
         case.listed.put(engine("a"))
         case.listed.put(engine("b"))
@@ -37,7 +37,7 @@
         case.listed.apply_pending()
         assert case.names_by_pool == {"p": ["b"]}
 
-    async def test_lapsed_upstream_that_returns_in_time_stays(self, autojump_clock) -> None:
+    async def test_expired_upstream_that_returns_in_time_stays(self, autojump_clock) -> None:
         case = Case(lapse_until=trio.current_time() + 2)
         case.listed.put(engine("a"))
         case.listed.remove("a")
@@ -49,7 +49,7 @@
         case.listed.apply_pending()
         assert case.names_by_pool == {"p": ["a"]}
 
-    async def test_lapsed_upstream_that_stays_missing_goes(self, autojump_clock) -> None:
+    async def test_expired_upstream_that_stays_missing_is_dropped(self, autojump_clock) -> None:
         case = Case(lapse_until=trio.current_time() + 2)
         case.listed.put(engine("a"))
         case.listed.retain(set())
@@ -65,22 +65,22 @@
         assert case.states == {"a": InstanceState.LEAVING}
 
 
-class TestLives:
-    async def test_new_life_serves_though_the_former_one_left(self, autojump_clock) -> None:
+class TestIncarnations:
+    async def test_new_incarnation_is_live_though_the_former_one_left(self, autojump_clock) -> None:
         case = Case()
         case.listed.put(replace(engine("a", born=5), state=LEAVING))
         case.listed.put(engine("a", born=6))
         case.listed.apply_pending()
         assert case.states == {"a": LIVE}
 
-    async def test_late_record_of_a_former_life_changes_nothing(self, autojump_clock) -> None:
+    async def test_late_record_of_a_former_incarnation_is_ignored(self, autojump_clock) -> None:
         case = Case()
         case.listed.put(engine("a", born=6))
         case.listed.put(replace(engine("a", born=5), state=LEAVING))
         case.listed.apply_pending()
         assert case.states == {"a": LIVE}
 
-    async def test_record_without_the_birth_that_its_id_tells_names_none(self, autojump_clock):
+    async def test_record_that_lacks_the_known_start_time_is_unreadable(self, autojump_clock):
         case = Case()
         case.listed.put(engine("a", born=6))
         case.listed.put(engine("a"))
@@ -90,7 +90,7 @@
         case.listed.apply_pending()
         assert case.states == {"a": LIVE}
 
-    async def test_first_told_birth_is_a_new_life(self, autojump_clock) -> None:
+    async def test_first_start_time_means_a_new_incarnation(self, autojump_clock) -> None:
         case = Case()
         case.listed.put(replace(engine("a"), state=LEAVING))
         case.listed.put(engine("a", born=6))
@@ -99,7 +99,9 @@
 
 
 class TestUnreadable:
-    async def test_id_is_not_used_until_its_next_own_entry(self, autojump_clock) -> None:
+    async def test_upstream_is_not_used_until_its_next_readable_record(
+        self, autojump_clock
+    ) -> None:
         case = Case()
         case.listed.put(engine("a"))
         case.listed.put(engine("b"))
@@ -110,7 +112,7 @@
         case.listed.apply_pending()
         assert case.states == {"a": LIVE, "b": LIVE}
 
-    async def test_leaving_outlasts_an_unreadable_entry(self, autojump_clock) -> None:
+    async def test_leaving_persists_over_an_unreadable_record(self, autojump_clock) -> None:
         case = Case()
         case.listed.put(replace(engine("a"), state=LEAVING))
         case.listed.mark_unreadable("a", "no json")
@@ -118,7 +120,7 @@
         case.listed.apply_pending()
         assert case.states == {"a": LEAVING}
 
-    async def test_unknown_id_stays_unknown(self, autojump_clock, lines) -> None:
+    async def test_unknown_name_stays_unknown(self, autojump_clock, lines) -> None:
         case = Case()
         for _ in range(3):
             case.listed.mark_unreadable("a", "no json")
@@ -126,8 +128,8 @@
         assert case.names_by_pool == {}
         assert [line["event"] for line in lines] == ["upstream-unreadable"]
 
-    async def test_leaving_of_one_pool_is_none_of_another(self, autojump_clock) -> None:
-        """A foreign entry under an id can't make its engine's leaving sticky."""
+    async def test_leaving_of_one_pool_does_not_affect_another(self, autojump_clock) -> None:
+        """Another program's record under an upstream's name must not make it leave for good."""
         case = Case()
         case.listed.put(engine("a"))
         case.listed.put(replace(engine("a", pool="foreign"), state=LEAVING))
@@ -135,7 +137,7 @@
         case.listed.apply_pending()
         assert (case.states, case.names_by_pool) == ({"a": LIVE}, {"p": ["a"], "foreign": []})
 
-    async def test_leaving_outlasts_an_entry_of_another_pool(self, autojump_clock) -> None:
+    async def test_leaving_persists_over_a_record_of_another_pool(self, autojump_clock) -> None:
         case = Case()
         case.listed.put(replace(engine("a"), state=LEAVING))
         case.listed.put(engine("a", pool="foreign"))
@@ -144,8 +146,8 @@
         assert case.states == {"a": LEAVING}
 
 
-class TestStoreThatComesBackOlder:
-    async def test_older_record_of_a_life_changes_nothing(self, autojump_clock) -> None:
+class TestRollback:
+    async def test_older_record_of_an_incarnation_is_ignored(self, autojump_clock) -> None:
         case = Case()
         leaving = replace(engine("a", born=5), state=LEAVING, address="a:2")
         case.listed.put(replace(leaving, seq=9))
@@ -168,7 +170,7 @@
         case.listed.apply_pending()
         assert case.names_by_pool == {"p": []}
 
-    async def test_next_life_counts_anew(self, autojump_clock) -> None:
+    async def test_next_incarnation_restarts_its_sequence(self, autojump_clock) -> None:
         case = Case()
         case.listed.put(replace(engine("a", born=5), seq=9))
         case.listed.note_rise()
@@ -177,7 +179,9 @@
         case.listed.apply_pending()
         assert case.names_by_pool == {"p": [], "q": [], "r": ["a"]}
 
-    async def test_life_that_tells_no_birth_may_count_anew(self, autojump_clock) -> None:
+    async def test_incarnation_without_start_time_may_restart_its_sequence(
+        self, autojump_clock
+    ) -> None:
         case = Case()
         case.listed.put(replace(engine("a"), seq=9))
         case.listed.note_rise()
@@ -185,7 +189,9 @@
         case.listed.apply_pending()
         assert case.names_by_pool == {"p": [], "q": ["a"]}
 
-    async def test_record_that_only_counts_on_is_no_change(self, autojump_clock) -> None:
+    async def test_record_with_only_a_new_sequence_number_is_no_change(
+        self, autojump_clock
+    ) -> None:
         case = Case()
         case.listed.put(replace(engine("a", born=5), seq=1))
         case.listed.apply_pending()
@@ -194,8 +200,8 @@
         case.listed.apply_pending()
         assert case.names_by_pool == {}
 
-    async def test_life_that_is_gone_is_not_brought_back_by_a_copy(self, autojump_clock) -> None:
-        case = self._with_a_gone_life()
+    async def test_removed_incarnation_is_not_restored_by_a_rollback(self, autojump_clock) -> None:
+        case = self._with_a_removed_incarnation()
         await trio.sleep(GONE_RETENTION_S - 1)
         case.listed.note_rise()
         await trio.sleep(GONE_RETENTION_S - 1)
@@ -203,43 +209,47 @@
         case.listed.apply_pending()
         assert case.names_by_pool == {"p": []}
 
-    async def test_life_that_writes_on_comes_back(self, autojump_clock) -> None:
-        case = self._with_a_gone_life()
+    async def test_removed_incarnation_that_writes_again_is_listed_again(
+        self, autojump_clock
+    ) -> None:
+        case = self._with_a_removed_incarnation()
         case.listed.note_rise()
         case.listed.put(replace(engine("a", born=5), seq=10))
         case.listed.apply_pending()
         assert case.names_by_pool == {"p": ["a"]}
 
-    async def test_next_life_comes_back(self, autojump_clock) -> None:
-        case = self._with_a_gone_life()
+    async def test_next_incarnation_is_listed_again(self, autojump_clock) -> None:
+        case = self._with_a_removed_incarnation()
         case.listed.note_rise()
         case.listed.put(replace(engine("a", born=6), seq=1))
         case.listed.apply_pending()
         assert case.names_by_pool == {"p": ["a"]}
 
-    async def test_former_life_of_one_that_is_gone_does_not_come_back(self, autojump_clock) -> None:
-        case = self._with_a_gone_life()
+    async def test_former_incarnation_of_a_removed_one_stays_removed(self, autojump_clock) -> None:
+        case = self._with_a_removed_incarnation()
         case.listed.note_rise()
         case.listed.put(replace(engine("a", born=4), seq=99))
         case.listed.apply_pending()
         assert case.names_by_pool == {"p": []}
 
-    async def test_without_a_rise_a_lower_number_counts_as_ever(self, autojump_clock) -> None:
-        """Another writer's record with a high number must not shut out the upstream's own."""
+    async def test_without_a_rise_a_lower_number_is_accepted(self, autojump_clock) -> None:
+        """Another program's record with a high number must not block the upstream's own records."""
         case = Case()
         case.listed.put(replace(engine("a", pool="q", born=5), seq=10**9))
         case.listed.put(replace(engine("a", born=5), seq=8))
         case.listed.apply_pending()
         assert case.names_by_pool == {"p": ["a"], "q": []}
 
-    async def test_without_a_rise_a_life_comes_back_as_ever(self, autojump_clock) -> None:
-        case = self._with_a_gone_life()
+    async def test_without_a_rise_a_removed_incarnation_is_listed_again(
+        self, autojump_clock
+    ) -> None:
+        case = self._with_a_removed_incarnation()
         case.listed.put(replace(engine("a", born=5), seq=9))
         case.listed.apply_pending()
         assert case.names_by_pool == {"p": ["a"]}
 
-    async def test_life_is_forgotten_in_time(self, autojump_clock) -> None:
-        case = self._with_a_gone_life()
+    async def test_removed_incarnation_is_forgotten_in_time(self, autojump_clock) -> None:
+        case = self._with_a_removed_incarnation()
         case.listed.note_rise()
         await trio.sleep(GONE_RETENTION_S + 0.1)
         case.listed.put(replace(engine("a", born=5), seq=9))
@@ -247,7 +257,7 @@
         assert case.names_by_pool == {"p": ["a"]}
 
     @staticmethod
-    def _with_a_gone_life() -> Case:
+    def _with_a_removed_incarnation() -> Case:
         case = Case()
         case.listed.put(replace(engine("a", born=5), seq=9))
         case.listed.remove("a")
@@ -256,10 +266,10 @@
         return case
 
 
-class TestOwnWord:
-    """An upstream's word in an answer that it leaves."""
+class TestReportedLeaving:
+    """An upstream reports in an answer that it is leaving."""
 
-    async def test_it_leaves_at_once_and_stays_so(self, autojump_clock) -> None:
+    async def test_it_takes_effect_at_once_and_is_sticky(self, autojump_clock) -> None:
         case = Case()
         case.listed.put(engine("a"))
         case.listed.note_leaving(engine("a"))
@@ -269,7 +279,7 @@
         case.listed.apply_pending()
         assert case.states == {"a": LEAVING}
 
-    async def test_another_life_or_pool_is_not_bound(self, autojump_clock) -> None:
+    async def test_another_incarnation_or_pool_is_not_affected(self, autojump_clock) -> None:
         case = Case()
         case.listed.put(engine("a", born=2))
         case.listed.note_leaving(engine("a", born=1))
@@ -277,7 +287,7 @@
         case.listed.apply_pending()
         assert case.states == {"a": LIVE}
 
-    async def test_it_holds_for_a_record_that_lapsed_and_is_back(self, autojump_clock) -> None:
+    async def test_it_holds_for_a_record_that_expired_and_returned(self, autojump_clock) -> None:
         case = Case()
         case.listed.put(engine("a"))
         case.listed.note_leaving(engine("a"))
@@ -289,7 +299,7 @@
         case.listed.apply_pending()
         assert case.states == {"a": LEAVING}
 
-    async def test_it_is_forgotten_long_after_the_upstream_is_gone(self, autojump_clock) -> None:
+    async def test_it_is_forgotten_long_after_the_upstream_is_removed(self, autojump_clock) -> None:
         case = Case()
         for number in range(50):
             case.listed.put(engine(f"a{number}"))
--- a/railtide/membership/tests/test_warm_up.py
+++ b/railtide/membership/tests/test_warm_up.py
@@ -1,4 +1,4 @@
-"""How long upstreams are cold by the records that tell it, which come late and out of order."""
+"""Warm-up times of upstreams, from records that arrive late and out of order."""
 
 import pytest
 import trio
@@ -10,7 +10,7 @@
 
 
 class Case:
-    """A list of one upstream; `changes` counts how often its pool was told."""
+    """A list of one upstream; `changes` counts how often its pool was reported."""
 
     def __init__(self) -> None:
         self.changes = 0
@@ -31,28 +31,28 @@
 
 
 class TestRecords:
-    async def test_cold_upstream_is_told_with_its_end(self, autojump_clock) -> None:
+    async def test_cold_upstream_is_reported_with_its_warm_up_end(self, autojump_clock) -> None:
         case = Case()
         case.put(3.0)
         assert case.cold_for_s == pytest.approx(3.0)
         await trio.sleep(3.1)
         assert case.cold_for_s == 0.0
 
-    async def test_beats_that_count_down_are_no_change(self, autojump_clock) -> None:
+    async def test_heartbeats_that_count_down_are_no_change(self, autojump_clock) -> None:
         case = Case()
-        for beat, left_s in enumerate((3.0, 2.4, 0.9, 0.0)):
-            case.put(left_s, seq=beat)
+        for seq, cold_s in enumerate((3.0, 2.4, 0.9, 0.0)):
+            case.put(cold_s, seq=seq)
             await trio.sleep(0.5)
         assert case.changes == 1
 
-    async def test_late_record_does_not_warm_it_up(self, autojump_clock) -> None:
+    async def test_late_record_does_not_end_the_warm_up(self, autojump_clock) -> None:
         case = Case()
         case.put(3.0)
         await trio.sleep(1)
         case.put(0.0)
         assert case.cold_for_s == pytest.approx(2.0)
 
-    async def test_it_may_turn_cold_again(self, autojump_clock) -> None:
+    async def test_it_may_become_cold_again(self, autojump_clock) -> None:
         case = Case()
         case.put(3.0)
         await trio.sleep(5)
@@ -61,7 +61,7 @@
         assert case.cold_for_s == pytest.approx(2.5)
         assert case.changes == 2
 
-    async def test_new_life_owes_nothing_to_the_former_one(self, autojump_clock) -> None:
+    async def test_new_incarnation_inherits_no_warm_up(self, autojump_clock) -> None:
         case = Case()
         case.listed.put(replace(engine("a", born=1), cold_s=9.0))
         case.listed.put(engine("a", born=2))
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -1635,7 +1635,7 @@
         "journal/feed.py",
         "if not self._options.skip_superseded:",
         "if False:",
-        ("railtide/membership/tests/test_newest_for_backlog.py",),
+        ("railtide/membership/tests/test_outage_backlog.py",),
     ),
     Mutant(
         "old-record-is-a-sign-of-life",
