--- a/railtide/journal/tests/test_eras.py
+++ b/railtide/journal/tests/test_eras.py
@@ -65,9 +65,9 @@
         counters = Counters()
         eras = EraTracker(counters)
         eras.accept("3")
-        for value in ("2", "2", "1", "2"):
+        for stated in ("2", "2", "1", "2"):
             with pytest.raises(LogUnavailable):
-                eras.accept(value)
+                eras.accept(stated)
         assert eras.current == 3
         assert lines == [
             ("store-era-lower", {"told": "2", "era": 3}),
@@ -75,16 +75,16 @@
         ]
         assert counters.value("store_answers_era_lower") == 4
 
-    @pytest.mark.parametrize("value", ["", "x", "-1", "1.0", " 4", "+4", "٤", "9" * 30])
-    def test_unreadable_era_is_refused_once_one_was_seen(self, value: str, lines) -> None:
+    @pytest.mark.parametrize("stated", ["", "x", "-1", "1.0", " 4", "+4", "٤", "9" * 30])
+    def test_unreadable_era_is_refused_once_one_was_seen(self, stated: str, lines) -> None:
         counters = Counters()
         eras = EraTracker(counters)
         eras.accept("3")
         for _ in range(2):
             with pytest.raises(LogUnavailable):
-                eras.accept(value)
+                eras.accept(stated)
         assert (eras.current, eras.rises) == (3, 0)
-        assert lines == [("store-era-unreadable", {"told": value[:32], "era": 3})]
+        assert lines == [("store-era-unreadable", {"told": stated[:32], "era": 3})]
         assert counters.value("store_answers_era_unreadable") == 2
 
     def test_missing_era_is_refused_once_one_was_seen(self, lines) -> None:
@@ -101,8 +101,8 @@
     def test_store_without_eras_is_accepted(self, lines) -> None:
         counters = Counters()
         eras = EraTracker(counters)
-        for value in (None, None):
-            eras.accept(value)
+        for stated in (None, None):
+            eras.accept(stated)
         assert (eras.current, lines, counters.values_by_name()) == (None, [], {})
 
     def test_unreadable_era_before_any_other_is_logged_but_accepted(self, lines) -> None:
@@ -113,8 +113,8 @@
 
     def test_bad_values_are_logged_again_after_a_rise(self, lines) -> None:
         eras = EraTracker(Counters())
-        for value in ("1", "2"):
-            eras.accept(value)
+        for stated in ("1", "2"):
+            eras.accept(stated)
             with pytest.raises(LogUnavailable):
                 eras.accept(None)
         missing = [fields for event, fields in lines if event == "store-era-missing"]
--- a/railtide/journal/tests/test_hedge.py
+++ b/railtide/journal/tests/test_hedge.py
@@ -105,10 +105,10 @@
             await call.run()
         assert len(hedge.began_at) == 1
 
-    @pytest.mark.parametrize("error", [EraRisen("risen"), RecordsExpired(7)])
-    async def test_conclusive_error_ends_the_call(self, autojump_clock, error: Exception) -> None:
-        call = HedgedCall(Scripted("first", NEVER), Scripted("hedge", 0.1, error=error))
-        with pytest.raises(type(error)):
+    @pytest.mark.parametrize("raised", [EraRisen("risen"), RecordsExpired(7)])
+    async def test_conclusive_error_ends_the_call(self, autojump_clock, raised: Exception) -> None:
+        call = HedgedCall(Scripted("first", NEVER), Scripted("hedge", 0.1, error=raised))
+        with pytest.raises(type(raised)):
             await call.run()
 
     async def test_only_one_of_two_simultaneous_answers_is_read(self, autojump_clock) -> None:
--- a/railtide/membership/tests/test_warm_up.py
+++ b/railtide/membership/tests/test_warm_up.py
@@ -40,8 +40,8 @@
 
     async def test_heartbeats_that_count_down_are_no_change(self, autojump_clock) -> None:
         case = Case()
-        for seq, cold_s in enumerate((3.0, 2.4, 0.9, 0.0)):
-            case.put(cold_s, seq=seq)
+        for number, cold_s in enumerate((3.0, 2.4, 0.9, 0.0)):
+            case.put(cold_s, seq=number)
             await trio.sleep(0.5)
         assert case.changes == 1
 
--- a/railtide/membership/upstream_list.py
+++ b/railtide/membership/upstream_list.py
@@ -156,12 +156,14 @@
         A record that another program writes under the same name for another pool changes neither's
         state.
         """
-        incarnation = _PoolIncarnation.of(instance)
+        pool_incarnation = _PoolIncarnation.of(instance)
         left = self._left_by_name.setdefault(instance.name, set())
         self._left_until_by_name.pop(instance.name, None)
         if instance.state is InstanceState.LEAVING:
-            left.add(incarnation)
-        return replace(instance, state=InstanceState.LEAVING) if incarnation in left else instance
+            left.add(pool_incarnation)
+        return (
+            replace(instance, state=InstanceState.LEAVING) if pool_incarnation in left else instance
+        )
 
     def note_leaving(self, instance: Instance) -> None:
         """Record that an upstream reported in an answer that this incarnation is leaving.
@@ -169,16 +171,16 @@
         This may precede the corresponding record by long, since no record is read during an outage
         of the store.
         """
-        incarnation = _PoolIncarnation.of(instance)
+        pool_incarnation = _PoolIncarnation.of(instance)
         left = self._left_by_name.setdefault(instance.name, set())
-        if incarnation in left:
+        if pool_incarnation in left:
             return
-        left.add(incarnation)
+        left.add(pool_incarnation)
         logger.bind(
             upstream=instance.name, incarnation=instance.incarnation, pool=instance.pool
         ).info("upstream-says-it-leaves")
         known = self._by_name.get(instance.name)
-        if known and _PoolIncarnation.of(known) == incarnation:
+        if known and _PoolIncarnation.of(known) == pool_incarnation:
             self._by_name[instance.name] = replace(known, state=InstanceState.LEAVING)
             self._changed_pools.add(known.pool)
 
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -2509,7 +2509,7 @@
     Mutant(
         "leaving-in-an-answer-binds-another-life",
         "membership/upstream_list.py",
-        "        if known and _PoolIncarnation.of(known) == incarnation:",
+        "        if known and _PoolIncarnation.of(known) == pool_incarnation:",
         "        if known:",
         (UPSTREAM_LIST,),
     ),
