--- a/railtide/journal/feed.py
+++ b/railtide/journal/feed.py
@@ -129,8 +129,8 @@
     def refresh(self) -> trio.Event:
         """Read up to the topic's present end; return an event that is set once this is done.
 
-        A read that is still waiting for its answer is cancelled and repeated, since its connection
-        may be dead. A read whose answer has begun continues; if its connection is dead too, the
+        A read that is still waiting for its answer is cancelled and repeated on a new connection,
+        since its own may be dead. A read whose answer has begun continues; if that one is dead, the
         answer stalls and the read fails for that reason.
         """
         if self._refreshed is None:
@@ -145,8 +145,8 @@
 
     def is_current(self) -> bool:
         """Return whether all records known to exist are processed and the store is reachable."""
-        is_heard = self.caught_up and self.reachable and self._refreshed is None
-        return is_heard and self.freshness.unread_since is None
+        is_caught_up = self.caught_up and self.reachable and self._refreshed is None
+        return is_caught_up and self.freshness.unread_since is None
 
     async def run(self) -> None:
         """Follow the topic forever."""
--- a/railtide/journal/fold.py
+++ b/railtide/journal/fold.py
@@ -109,12 +109,12 @@
 def _forget_closed(state: State) -> None:
     """Remove closed holders whose `OpenHolder`, if repeated, would be refused as too old."""
     oldest = state.stamp - OPEN_MAX_AGE_MS
-    gone = [
+    expired = [
         name
         for name, holder in state.by_holder.items()
         if holder.status == HolderStatus.CLOSED and holder.since < oldest
     ]
-    for name in gone:
+    for name in expired:
         del state.by_holder[name]
 
 
--- a/railtide/membership/roster.py
+++ b/railtide/membership/roster.py
@@ -159,14 +159,14 @@
     read_offsets : callable, optional
         Returns the offset up to which this router has read each partition of the ledgers.
     limit_news : callable, optional
-        Returns what this router tells of upstreams' limits.
+        Returns the limits of upstreams that this router shares with the others.
 
     Attributes
     ----------
     on_update : callable
         Called each time records were processed.
     on_limits : callable
-        Told what another router tells of upstreams' limits.
+        Called with the limits of upstreams that another router shares.
     """
 
     def __init__(
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -1823,8 +1823,8 @@
     Mutant(
         "feed-is-current-with-a-version-under-way",
         "journal/feed.py",
-        "return is_heard and self.freshness.unread_since is None",
-        "return is_heard",
+        "return is_caught_up and self.freshness.unread_since is None",
+        "return is_caught_up",
         (FEED,),
     ),
     Mutant(
