--- a/railtide/journal/state.py
+++ b/railtide/journal/state.py
@@ -23,7 +23,7 @@
 class HolderState:
     """A writer of the log, and the verdicts that it has not acknowledged yet.
 
-    A checkpoint stores the fields by name: renaming one makes older checkpoints unreadable.
+    Checkpoints store the fields by name, so renaming one breaks reading older checkpoints.
     """
 
     instance: str
@@ -40,7 +40,7 @@
 class State:
     """The state after folding the log up to `offset` (-1 before the first record).
 
-    A checkpoint stores the fields by name: renaming one makes older checkpoints unreadable.
+    Checkpoints store the fields by name, so renaming one breaks reading older checkpoints.
 
     Attributes
     ----------
@@ -51,7 +51,7 @@
     checkpoint_offset : int
         Offset of the newest checkpoint that a holder has reported as written.
     repeats, gaps, skipped : int
-        Entries ignored as duplicates, as ahead of their sequence, and as of unknown kinds.
+        Numbers of entries that were duplicates, out of sequence, or of unknown kinds.
     """
 
     offset: int = -1
