--- a/railtide/membership/roster.py
+++ b/railtide/membership/roster.py
@@ -37,7 +37,7 @@
 """A record with a longer interval is rejected: the loss of its writer could not be noticed."""
 ROLLBACK_WINDOW_S = 20.0
 """How long after a rise of the store's era a record may come from the restored copy: the longest
-history that the users' fault scenarios lose."""
+time for which the users' stores keep records."""
 MAX_LIMITS = 64
 """Upstream limits reported in one record."""
 SELECTION_CACHE_S = 0.2
--- a/railtide/membership/upstream_list.py
+++ b/railtide/membership/upstream_list.py
@@ -27,7 +27,7 @@
 return; an upstream whose record is still missing then is gone."""
 GONE_RETENTION_S = 20.0
 """How long a removed incarnation is remembered, restarted on each rise of the store's era: the
-longest history that the users' fault scenarios lose, hence the age of the oldest restored copy."""
+longest time for which the users' stores keep records, hence the age of the oldest restored copy."""
 LEFT_RETENTION_S = 600.0
 """How long after an upstream's removal its incarnations that were leaving are remembered. Its
 record may only have expired and may return without the leaving state."""
