--- a/railtide/journal/entries.py
+++ b/railtide/journal/entries.py
@@ -8,7 +8,7 @@
 import msgspec
 from msgspec import Struct
 
-from railtide.budgets.messages import Fence, Grant, Release, Return, TopUp, Waste
+from railtide.budgets.messages import Fence, Grant, GrantReturn, Release, TopUp, Waste
 from railtide.configuration.messages import Proposal
 from railtide.journal.errors import UnreadableBatch
 from railtide.membership.messages import Checkpointed, CloseHolder, Heartbeat, Leaving, OpenHolder
@@ -28,7 +28,7 @@
 Record = (
     TopUp
     | Grant
-    | Return
+    | GrantReturn
     | Fence
     | Release
     | Intent
--- a/railtide/journal/fold.py
+++ b/railtide/journal/fold.py
@@ -5,7 +5,7 @@
 
 from railtide.budgets import balance as budgets
 from railtide.budgets.balance import Balance
-from railtide.budgets.messages import Fence, Grant, Release, Return, TopUp, Waste
+from railtide.budgets.messages import Fence, Grant, GrantReturn, Release, TopUp, Waste
 from railtide.configuration.messages import Kind, Proposal
 from railtide.configuration.objects import propose, version_of
 from railtide.journal.entries import Entry, Record, Verdict, VerdictCode, decode_record
@@ -16,12 +16,12 @@
     KeyState,
     correct,
     correctable,
-    drop,
+    discard,
     expire_keys,
     expire_settled,
     find_key,
     finish,
-    is_beaten,
+    is_key_taken,
     remember_settled,
     start,
 )
@@ -186,9 +186,9 @@
     return _verdict_on(state, entry, holder, code, available=budgets.available(balance))
 
 
-def _on_return(state: State, entry: Entry, holder: HolderState, record: Return) -> Verdict:
+def _on_return(state: State, entry: Entry, holder: HolderState, record: GrantReturn) -> Verdict:
     balance = state.by_account.get(record.account)
-    done = balance is not None and budgets.give_back(balance, entry.holder, record.amount)
+    done = balance is not None and budgets.return_units(balance, entry.holder, record.amount)
     return _verdict_on(state, entry, holder, VerdictCode.OK if done else VerdictCode.REFUSED)
 
 
@@ -261,10 +261,10 @@
         return _on_late_bill(state, entry, holder, record)
     balance = state.by_account[request.account]
     code = VerdictCode.OK
-    if is_beaten(state.registry, record, request):
+    if is_key_taken(state.registry, record, request):
         used = record.cost + record.wasted
         budgets.settle(balance, request.holder, request.reserve, 0, used)
-        drop(state.registry, record.request_id)
+        discard(state.registry, record.request_id)
         code = VerdictCode.WASTED
     else:
         budgets.settle(balance, request.holder, request.reserve, record.cost, record.wasted)
@@ -354,7 +354,7 @@
     CloseHolder: _on_close,
     TopUp: _on_top_up,
     Grant: _on_grant,
-    Return: _on_return,
+    GrantReturn: _on_return,
     Fence: _on_fence,
     Release: _on_release,
     Intent: _on_intent,
--- a/railtide/lanes/tests/test_scheduler.py
+++ b/railtide/lanes/tests/test_scheduler.py
@@ -9,16 +9,16 @@
 from railtide.lanes.queue import Urgency
 from railtide.lanes.scheduler import PoolScheduler, Slot, WaitingRequest
 from railtide.membership.instances import Instance
-from railtide.upstreams.choice import Affinity, TwoChoices
-from railtide.upstreams.load import LoadReport
+from railtide.upstreams.balancing import Affinity, TwoChoices
+from railtide.upstreams.upstream_state import LoadReport
 
 
 def pool(*names: str, slots: int = 4) -> list[Instance]:
     return [Instance(n, "1", f"{n}:1", n[0], "engine", "p", slots) for n in names]
 
 
-def make(*names: str, slots: int = 4, most_waiting: int = 100) -> PoolScheduler:
-    scheduler = PoolScheduler(TwoChoices(Random(1)), most_waiting=most_waiting)
+def make(*names: str, slots: int = 4, max_waiting: int = 100) -> PoolScheduler:
+    scheduler = PoolScheduler(TwoChoices(Random(1)), max_waiting=max_waiting)
     scheduler.set_upstreams(pool(*names, slots=slots))
     return scheduler
 
@@ -32,48 +32,48 @@
 
 
 def long_prompt(prefix: str = "p") -> WaitingRequest:
-    affinity = Affinity(prefix, worth=15.0, reading=7.0)
+    affinity = Affinity(prefix, prefix_cost=15.0, prefill_cost=7.0)
     return WaitingRequest("a", Urgency.BULK, 1, 1, trio.current_time() + 60, affinity)
 
 
-class TestReading:
-    async def test_unread_prompts_count_as_load_until_their_answers_begin(
-        self, autojump_clock
-    ) -> None:
+class TestPrefillLoad:
+    async def test_prompt_counts_as_load_until_its_answer_begins(self, autojump_clock) -> None:
         scheduler = make("a")
         slot = await scheduler.acquire(long_prompt())
-        assert scheduler.by_name["a"].reading == 22
-        scheduler.note_begun(slot)
-        scheduler.note_begun(slot)
-        assert scheduler.by_name["a"].reading == 0
+        assert scheduler.by_name["a"].prefill_load == 22
+        scheduler.note_answer_started(slot)
+        scheduler.note_answer_started(slot)
+        assert scheduler.by_name["a"].prefill_load == 0
 
-    async def test_kept_prefix_is_not_read_again(self, autojump_clock) -> None:
+    async def test_cached_prefix_adds_no_load(self, autojump_clock) -> None:
         scheduler = make("a")
         scheduler.release(await scheduler.acquire(long_prompt()))
-        assert scheduler.by_name["a"].reading == 0
+        assert scheduler.by_name["a"].prefill_load == 0
         await scheduler.acquire(long_prompt())
-        assert scheduler.by_name["a"].reading == 7
+        assert scheduler.by_name["a"].prefill_load == 7
 
-    async def test_prefix_is_taken_to_be_gone_after_a_while(self, autojump_clock) -> None:
+    async def test_prefix_counts_again_when_it_is_assumed_evicted(self, autojump_clock) -> None:
         scheduler = make("a")
         scheduler.release(await scheduler.acquire(long_prompt()))
         await trio.sleep(11)
         await scheduler.acquire(long_prompt())
-        assert scheduler.by_name["a"].reading == 22
+        assert scheduler.by_name["a"].prefill_load == 22
 
-    async def test_next_request_goes_where_no_long_prompt_is_read(self, autojump_clock) -> None:
+    async def test_requests_avoid_an_upstream_that_processes_a_long_prompt(
+        self, autojump_clock
+    ) -> None:
         scheduler = make("a", "b", slots=8)
-        reading = await scheduler.acquire(long_prompt())
+        busy = await scheduler.acquire(long_prompt())
         others = [await scheduler.acquire(request()) for _ in range(3)]
-        assert reading.upstream not in [slot.upstream for slot in others]
+        assert busy.upstream not in [slot.upstream for slot in others]
 
 
 class TestWaiting:
-    """One upstream of four slots, answers that begin after 0.1 s and last 0.2 s."""
+    """One upstream with four slots; answers begin after 0.1 s and take 0.2 s."""
 
     @staticmethod
     async def _serve(scheduler: PoolScheduler, goal_s: float) -> float | None:
-        """Return when the answer began, seconds from the request; None if it was refused."""
+        """Return the seconds from the request to the answer's begin; None if it was refused."""
         came_at = trio.current_time()
         waiting = WaitingRequest(
             "a", Urgency.URGENT, 1, 1, came_at + 2, Affinity(), came_at + goal_s
@@ -83,7 +83,7 @@
         except LaneError:
             return None
         await trio.sleep(0.1)
-        scheduler.note_begun(slot)
+        scheduler.note_answer_started(slot)
         began_after_s = trio.current_time() - came_at
         await trio.sleep(0.1)
         scheduler.release(slot)
@@ -110,26 +110,28 @@
                 await trio.sleep(rng.expovariate(30.0))
         assert len(served) > 0.6 * 1000
         assert sum(after <= 0.4 for after in served) > 0.97 * len(served)
-        learnt = refused_after_s[100:]
-        assert sum(after == 0 for after in learnt) > 0.9 * len(learnt)
+        after_warm_up = refused_after_s[100:]
+        assert sum(after == 0 for after in after_warm_up) > 0.9 * len(after_warm_up)
 
-    async def test_free_slot_is_given_even_behind_the_goal(self) -> None:
-        """On the real clock, which goes on between two looks at it."""
+    async def test_free_slot_is_assigned_even_after_the_goal(self) -> None:
+        """Uses the real clock, which advances between two readings."""
         scheduler = make("a")
         for _ in range(3):
             assert await self._serve(scheduler, goal_s=-1.0) is not None
 
-    async def test_few_time_outs_do_not_make_the_rest_be_refused(self, autojump_clock) -> None:
+    async def test_few_timeouts_do_not_raise_the_usual_first_byte_time(
+        self, autojump_clock
+    ) -> None:
         scheduler = make("a")
         for number in range(200):
             slot = await scheduler.acquire(request())
             await trio.sleep(1.0 if number % 10 == 0 else 0.03)
             scheduler.release(slot)
-        assert scheduler._begin_s < 0.05
+        assert scheduler._first_byte_s < 0.05
 
 
 class TestPoolScheduler:
-    async def test_bulk_leaves_slots_for_urgent(self, autojump_clock) -> None:
+    async def test_slots_are_reserved_for_urgent_requests(self, autojump_clock) -> None:
         scheduler = make("a")
         await fill(scheduler, 3)
         with pytest.raises(DeadlineTooNear):
@@ -174,7 +176,7 @@
         assert served.index("modest") < 3
 
     async def test_full_lane_refuses_at_once(self, autojump_clock) -> None:
-        scheduler = make("a", slots=1, most_waiting=1)
+        scheduler = make("a", slots=1, max_waiting=1)
         await fill(scheduler, 1)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._wait_in_vain, scheduler)
@@ -190,13 +192,13 @@
     async def _wait_in_vain(self, scheduler: PoolScheduler) -> None:
         await scheduler.acquire(request())
 
-    async def test_leaving_upstream_gets_no_new_work(self, autojump_clock) -> None:
+    async def test_leaving_upstream_gets_no_new_requests(self, autojump_clock) -> None:
         scheduler = make("a", "b")
-        scheduler.take_report("a", LoadReport(0, 0, True, 0.0))
-        scheduler.take_report("a", LoadReport(0, 0, False, 1.0))
+        scheduler.apply_load_report("a", LoadReport(0, 0, True, 0.0))
+        scheduler.apply_load_report("a", LoadReport(0, 0, False, 1.0))
         slots = await fill(scheduler, 3)
         assert {slot.upstream.instance.name for slot in slots} == {"b"}
-        scheduler.take_report("b", LoadReport(0, 0, True, 2.0))
+        scheduler.apply_load_report("b", LoadReport(0, 0, True, 2.0))
         with pytest.raises(NoUpstream):
             await scheduler.acquire(request())
 
@@ -209,24 +211,26 @@
         again = await scheduler.reacquire(waiting, tried)
         assert again.upstream.instance.name == "b1"
 
-    async def test_list_that_lost_most_upstreams_is_not_believed(self, autojump_clock) -> None:
+    async def test_list_that_lacks_most_reporting_upstreams_is_not_applied(
+        self, autojump_clock
+    ) -> None:
         scheduler = make("a", "b", "c")
         for name in "abc":
-            scheduler.take_report(name, LoadReport(0, 0, False, trio.current_time()))
+            scheduler.apply_load_report(name, LoadReport(0, 0, False, trio.current_time()))
         scheduler.set_upstreams([])
         assert set(scheduler.by_name) == {"a", "b", "c"}
         await trio.sleep(10)
         scheduler.set_upstreams([])
         assert scheduler.by_name == {}
 
-    async def test_list_that_lost_one_upstream_is(self, autojump_clock) -> None:
+    async def test_list_that_lacks_one_upstream_is_applied(self, autojump_clock) -> None:
         scheduler = make("a", "b", "c")
         for name in "abc":
-            scheduler.take_report(name, LoadReport(0, 0, False, trio.current_time()))
+            scheduler.apply_load_report(name, LoadReport(0, 0, False, trio.current_time()))
         scheduler.set_upstreams(pool("a", "b"))
         assert set(scheduler.by_name) == {"a", "b"}
 
-    async def test_release_counts_once(self, autojump_clock) -> None:
+    async def test_second_release_has_no_effect(self, autojump_clock) -> None:
         scheduler = make("a")
         slot = await scheduler.acquire(request())
         scheduler.release(slot)
--- a/railtide/membership/roster.py
+++ b/railtide/membership/roster.py
@@ -27,7 +27,7 @@
     router_traffic,
     select_routers,
 )
-from railtide.upstreams.stated_limit import LimitNews
+from railtide.upstreams.advertised_limit import LimitUpdate
 
 __all__ = ["Member", "Roster", "RosterOptions"]
 
@@ -94,7 +94,7 @@
         none.
     read : tuple of int
         Offset up to which it has read each partition of the ledgers in that era.
-    limits : tuple of LimitNews
+    limits : tuple of LimitUpdate
         What answers to it lately stated of upstreams' limits.
     """
 
@@ -109,7 +109,7 @@
     era: Annotated[int, msgspec.Meta(ge=0)] = 0
     first_era: Annotated[int, msgspec.Meta(ge=0)] = 0
     read: tuple[Annotated[int, msgspec.Meta(ge=0)], ...] = ()
-    limits: tuple[LimitNews, ...] = ()
+    limits: tuple[LimitUpdate, ...] = ()
 
 
 def _member_of(value: bytes) -> Member:
@@ -158,7 +158,7 @@
         Returns whether this router has missed a newer configuration for too long.
     read_offsets : callable, optional
         Returns the offset up to which this router has read each partition of the ledgers.
-    limit_news : callable, optional
+    limit_updates : callable, optional
         Returns the limits of upstreams that this router shares with the others.
 
     Attributes
@@ -179,11 +179,11 @@
         load_of: Callable[[], float] = lambda: 0.0,
         is_outdated: Callable[[], bool] = lambda: False,
         read_offsets: Callable[[], tuple[int, ...]] = tuple,
-        limit_news: Callable[[], tuple[LimitNews, ...]] = tuple,
+        limit_updates: Callable[[], tuple[LimitUpdate, ...]] = tuple,
     ) -> None:
         self.on_update: Callable[[], None] = lambda: None
-        self.on_limits: Callable[[tuple[LimitNews, ...]], None] = lambda news: None
-        self._limit_news = limit_news
+        self.on_limits: Callable[[tuple[LimitUpdate, ...]], None] = lambda news: None
+        self._limit_updates = limit_updates
         self._read_offsets = read_offsets
         self._alive_at_rise: dict[tuple[str, str], float] = {}
         self._advertised_at_rise: dict[tuple[str, str], float] = {}
@@ -265,7 +265,7 @@
             era=self._store.era or 0,
             first_era=self._member.first_era or self._store.era or 0,
             read=self._read_offsets(),
-            limits=self._limit_news()[:MAX_LIMITS],
+            limits=self._limit_updates()[:MAX_LIMITS],
         )
         self._member = member
         self._written_at = trio.current_time()
--- a/railtide/membership/tests/test_roster.py
+++ b/railtide/membership/tests/test_roster.py
@@ -10,7 +10,7 @@
 
 from railtide.membership.roster import MAX_LIMITS, Member, Roster, RosterOptions
 from railtide.standins.keyed_store import MemoryStore
-from railtide.upstreams.stated_limit import LimitNews
+from railtide.upstreams.advertised_limit import LimitUpdate
 
 OPTIONS = RosterOptions()
 MIN_ROUTERS = OPTIONS.selection.min_routers
@@ -378,13 +378,13 @@
             nursery.cancel_scope.cancel()
 
 
-class TestLimitNews:
+class TestLimitUpdates:
     async def test_reaches_others_but_not_from_a_backlog(self, autojump_clock) -> None:
         store = MemoryStore()
-        news = (LimitNews("e1", "e1/1", 1.5, 0.5),)
+        news = (LimitUpdate("e1", "e1/1", 1.5, 0.5),)
         member = Member("a-1", "a:1", "z", 0)
-        sender = Roster(store, "a", member, OPTIONS, Random(1), limit_news=lambda: news)
-        received: list[tuple[LimitNews, ...]] = []
+        sender = Roster(store, "a", member, OPTIONS, Random(1), limit_updates=lambda: news)
+        received: list[tuple[LimitUpdate, ...]] = []
         receiver = roster(store, "b")
         receiver.on_limits = received.append
         async with trio.open_nursery() as nursery:
@@ -404,9 +404,9 @@
 
     async def test_limits_in_one_record_are_bounded(self, autojump_clock) -> None:
         store = MemoryStore()
-        news = tuple(LimitNews(f"e{n}", "life", 1.5, 0.5) for n in range(MAX_LIMITS + 1))
+        news = tuple(LimitUpdate(f"e{n}", "life", 1.5, 0.5) for n in range(MAX_LIMITS + 1))
         sender = Roster(
-            store, "a", Member("a-1", "a:1", "z", 0), OPTIONS, Random(1), limit_news=lambda: news
+            store, "a", Member("a-1", "a:1", "z", 0), OPTIONS, Random(1), limit_updates=lambda: news
         )
         async with trio.open_nursery() as nursery:
             await start(nursery, sender)
--- a/railtide/platform/tests/test_crashing_requests.py
+++ b/railtide/platform/tests/test_crashing_requests.py
@@ -28,7 +28,7 @@
 import pytest
 import trio
 
-from railtide.containment.ends import ProbeResult
+from railtide.containment.crash_detection import ProbeResult
 from railtide.containment.registry import TOPIC
 from railtide.edge.node import EdgeNode
 from railtide.edge.options import EdgeOptions
@@ -88,7 +88,7 @@
             EdgeOptions(),
             Random(number),
         )
-        upstreams.on_notice = node.take_notice
+        upstreams.on_notice = node.apply_notice
         self.nodes.append(node)
         self.scopes.append(trio.CancelScope())
         self.nursery.start_soon(self._run, node, self.scopes[-1])
