--- a/railtide/membership/roster.py
+++ b/railtide/membership/roster.py
@@ -182,7 +182,7 @@
         limit_updates: Callable[[], tuple[LimitUpdate, ...]] = tuple,
     ) -> None:
         self.on_update: Callable[[], None] = lambda: None
-        self.on_limits: Callable[[tuple[LimitUpdate, ...]], None] = lambda news: None
+        self.on_limits: Callable[[tuple[LimitUpdate, ...]], None] = lambda limits: None
         self._limit_updates = limit_updates
         self._read_offsets = read_offsets
         self._alive_at_rise: dict[tuple[str, str], float] = {}
--- a/railtide/membership/tests/test_roster.py
+++ b/railtide/membership/tests/test_roster.py
@@ -381,9 +381,9 @@
 class TestLimitUpdates:
     async def test_reaches_others_but_not_from_a_backlog(self, autojump_clock) -> None:
         store = MemoryStore()
-        news = (LimitUpdate("e1", "e1/1", 1.5, 0.5),)
+        updates = (LimitUpdate("e1", "e1/1", 1.5, 0.5),)
         member = Member("a-1", "a:1", "z", 0)
-        sender = Roster(store, "a", member, OPTIONS, Random(1), limit_updates=lambda: news)
+        sender = Roster(store, "a", member, OPTIONS, Random(1), limit_updates=lambda: updates)
         received: list[tuple[LimitUpdate, ...]] = []
         receiver = roster(store, "b")
         receiver.on_limits = received.append
@@ -391,7 +391,7 @@
             await start(nursery, sender)
             await start(nursery, receiver)
             await trio.sleep(8)
-            assert received and set(received) == {news}
+            assert received and set(received) == {updates}
             store.down = True
             await trio.sleep(5)
             received.clear()
@@ -404,9 +404,14 @@
 
     async def test_limits_in_one_record_are_bounded(self, autojump_clock) -> None:
         store = MemoryStore()
-        news = tuple(LimitUpdate(f"e{n}", "life", 1.5, 0.5) for n in range(MAX_LIMITS + 1))
+        updates = tuple(LimitUpdate(f"e{n}", "life", 1.5, 0.5) for n in range(MAX_LIMITS + 1))
         sender = Roster(
-            store, "a", Member("a-1", "a:1", "z", 0), OPTIONS, Random(1), limit_updates=lambda: news
+            store,
+            "a",
+            Member("a-1", "a:1", "z", 0),
+            OPTIONS,
+            Random(1),
+            limit_updates=lambda: updates,
         )
         async with trio.open_nursery() as nursery:
             await start(nursery, sender)
