--- a/railtide/edge/peers.py
+++ b/railtide/edge/peers.py
@@ -25,8 +25,8 @@
 
     def lost_routers(self, era: int, last_opened: int) -> int:
         """See `Peers.lost_routers`."""
-        return self._roster.count_missing(era, last_opened)
+        return self._roster.lost_routers(era, last_opened)
 
     def heard_from_former(self, era: int, last_opened: int) -> bool:
         """See `Peers.heard_from_former`."""
-        return self._roster.has_survivor(era, last_opened)
+        return self._roster.heard_from_former(era, last_opened)
