--- a/railtide/edge/node.py
+++ b/railtide/edge/node.py
@@ -288,7 +288,7 @@
         while True:
             await trio.sleep(self.options.settle_interval_s)
             self._wake_handler.check()
-            self._pools.settle()
+            self._pools.apply_pending()
             self._freshness.check(self._version_in_force())
 
     # -- freshness of the configuration -------------------------------------------------------
--- a/railtide/edge/pools.py
+++ b/railtide/edge/pools.py
@@ -80,7 +80,7 @@
         for pool in self.schedulers_by_pool:
             self._set_slow_start(pool)
 
-    def settle(self) -> None:
+    def apply_pending(self) -> None:
         """Apply removals that are due, of upstreams and of drain orders not written again."""
         self.listed.apply_pending()
         self.drained.apply_pending()
@@ -97,8 +97,8 @@
         self._on_listed([after[new] for new in after.keys() - before.keys()])
 
     def _add_pool(self, pool: str) -> None:
-        choice = LongPromptIsolation(PrefixAffinity(TwoChoices(self._rng)))
-        scheduler = PoolScheduler(choice, urgent_share=0, trusts_list=True)
+        policy = LongPromptIsolation(PrefixAffinity(TwoChoices(self._rng)))
+        scheduler = PoolScheduler(policy, urgent_share=0, trusts_list=True)
         scheduler.set_drained(self.drained.names)
         scheduler.set_limit_shares(self._limit_shares)
         self.schedulers_by_pool[pool] = scheduler
@@ -141,14 +141,16 @@
     def limit_updates(self) -> tuple[LimitUpdate, ...]:
         """Return the limits of upstreams to be published to other routers."""
         schedulers = self.schedulers_by_pool.values()
-        return tuple(news for scheduler in schedulers for news in scheduler.notices.limit_updates())
+        return tuple(
+            update for scheduler in schedulers for update in scheduler.notices.limit_updates()
+        )
 
     def apply_limit_updates(self, updates: tuple[LimitUpdate, ...]) -> None:
         """Apply the limits of upstreams that another router published."""
-        heard_at = trio.current_time()
-        for news in updates:
+        received_at = trio.current_time()
+        for update in updates:
             for scheduler in self.schedulers_by_pool.values():
-                scheduler.notices.apply_limit_update(news, heard_at)
+                scheduler.notices.apply_limit_update(update, received_at)
 
     def eject_incarnation(self, digest: str) -> None:
         """Stop using a crashed incarnation, given its digest, whichever router saw the crash."""
--- a/railtide/edge/tests/test_freshness.py
+++ b/railtide/edge/tests/test_freshness.py
@@ -51,7 +51,7 @@
     def __init__(self) -> None:
         self.caught_up = self.reachable = True
         self.freshness = FixedFreshness()
-        self._fresh = None
+        self._refreshed = None
 
 
 def feed_and_freshness() -> tuple[FixedFeed, ConfigurationFreshness]:
