--- a/railtide/budgets/__init__.py
+++ b/railtide/budgets/__init__.py
@@ -1,1 +1,1 @@
-"""Budgets: balances folded from the log, and the part of them a router has in hand."""
+"""Budgets: balances folded from the log, ledgers in the store, and allocations at routers."""
--- a/railtide/budgets/account_budget.py
+++ b/railtide/budgets/account_budget.py
@@ -1,4 +1,4 @@
-"""One account's hand at one router, and what it wants of the account's ledger. No I/O."""
+"""One account's budget at one router: its allocation and the ledger changes it needs. No I/O."""
 
 import math
 from collections.abc import Callable
@@ -9,7 +9,7 @@
 
 from railtide.budgets.account_log import (
     AccountState,
-    LineSchedule,
+    LedgerLogSchedule,
     proof_of,
     refusal_cause,
     state_of,
@@ -18,20 +18,20 @@
 from railtide.budgets.allocation_limits import AllocationLimits
 from railtide.budgets.allocation_sizing import (
     Traffic,
-    ahead_units,
     burst_units,
-    idle_units,
+    excess_units,
     is_low,
-    note_request,
+    max_preallocated_units,
     pace_units,
     rate_at,
+    record_request,
     target_units,
 )
 from railtide.budgets.ledger import (
     Holding,
     Ledger,
-    account_for,
-    close_former,
+    charged_units,
+    close_predecessor,
     committed,
     grant,
     is_same_report,
@@ -39,16 +39,16 @@
     ledger_to_bytes,
     reported_spend,
     return_unproved,
-    units_charged,
+    set_holding,
     written_off,
 )
 from railtide.budgets.partition_view import PartitionView, StandalonePartition
 from railtide.budgets.peer_reports import PeerReports
-from railtide.budgets.process_context import Holder
+from railtide.budgets.process_context import ProcessContext
 from railtide.budgets.shortfall_tracker import ShortfallTracker
 from railtide.budgets.shortfalls import (
     is_renewal_due,
-    soon_units,
+    near_term_units,
     spare_units,
     units_for_callers,
     units_to_return,
@@ -57,168 +57,185 @@
 
 __all__ = ["AccountBudget", "LedgerChange"]
 
-NEED_RETRIES = 2
-"""For how many times the wait that a refused caller is told its units are asked for: it comes over
-a network, and others look at the ledgers in their own time."""
+SHORTFALL_RETRIES = 2
+"""How many retry intervals a refused request's shortfall stays reported: the caller's retry crosses
+a network, and other routers read the ledgers on their own schedule."""
 
 
 @dataclass(frozen=True)
 class LedgerChange:
-    """A change of one account's ledger by this process.
+    """A change that this process makes to one account's ledger.
 
-    `granted` is what it grants to the process, `former` the holding that it closes of the process
-    before, `returned` what it returns of dead peers' holdings, by instance.
+    Attributes
+    ----------
+    holding : Holding
+        The holding of this process after the change.
+    granted : int
+        Units granted to this process.
+    predecessor : Holding or None
+        The closed holding of the instance's previous process.
+    returned : dict of str to int
+        Units returned from dead peers' holdings, by instance.
+    ledger : Ledger
+        The whole ledger after the change.
     """
 
     holding: Holding
     granted: int
-    former: Holding | None
+    predecessor: Holding | None
     returned: dict[str, int]
     ledger: Ledger
 
 
 class AccountBudget:
-    """One account's hand.
+    """One account's budget at this router.
+
+    Reserves units from the local allocation and plans the ledger changes that refill, report and
+    return it.
 
     Parameters
     ----------
     account : str
-    holder : Holder
-    ask : callable
-        Has the ledger read and changed now.
+    process : ProcessContext
+    request_update : callable
+        Triggers a read and an update of the ledger.
     horizon_s : callable
-        Returns for how many seconds of traffic the hand is to last now.
-    place : PartitionView, optional
-        The partition of the account's ledger.
+        Returns how many seconds of traffic the allocation should cover now.
+    partition : PartitionView, optional
+        The partition that holds the account's ledger.
 
     Attributes
     ----------
     prepaid : int or None
-        The budget in force; None before a configuration names it.
+        The budget in force, units; None until a configuration sets it.
     loaded : bool
-        Whether the ledger was read once.
+        Whether the ledger has been read.
     billed_requests : int
         Requests billed so far.
-    bounds : AllocationLimits
+    limits : AllocationLimits
     """
 
     def __init__(
         self,
         account: str,
-        holder: Holder,
-        ask: Callable[[], None],
+        process: ProcessContext,
+        request_update: Callable[[], None],
         horizon_s: Callable[[], float],
-        place: PartitionView | None = None,
+        partition: PartitionView | None = None,
     ) -> None:
         self.account = account
         self.allocation = Allocation()
-        self._place = place or StandalonePartition()
-        self.bounds = AllocationLimits(self.allocation, holder, self._place)
+        self._partition = partition or StandalonePartition()
+        self.limits = AllocationLimits(self.allocation, process, self._partition)
         self.prepaid: int | None = None
         self.loaded = False
         self.billed_requests = 0
-        self._holder = holder
-        self._options = holder.options
+        self._process = process
+        self._options = process.options
         self._traffic = Traffic()
-        self._needs = ShortfallTracker(holder.incarnation)
+        self._shortfalls = ShortfallTracker(process.incarnation)
         self._ledger = Ledger()
-        self._ledger_at = -math.inf
-        self._written = Holding(holder.incarnation)
+        self._ledger_read_at = -math.inf
+        self._written_holding = Holding(process.incarnation)
         self._peers = PeerReports()
         self._reported_at = -math.inf
-        self._is_copy_due = False
-        self._is_to_say_again = False
+        self._is_rollback_pending = False
+        self._must_report_again = False
         self._refill_refused_at = -math.inf
-        self._ask = ask
+        self._request_update = request_update
         self._horizon_s = horizon_s
-        self._schedule = LineSchedule(holder.lines)
+        self._schedule = LedgerLogSchedule(process.log_bucket)
         self._changed = trio.Event()
 
     # -- requests -----------------------------------------------------------------------------
 
-    def note(self, amount: int) -> None:
-        """Count a request in the account's traffic."""
-        note_request(self._traffic, amount, trio.current_time(), self._options.rate_window_s)
+    def count_request(self, amount: int) -> None:
+        """Record a request of this size in the account's traffic statistics."""
+        record_request(self._traffic, amount, trio.current_time(), self._options.rate_window_s)
 
     def try_reserve(self, amount: int) -> bool:
-        """Reserve units if they are in hand and within what the process has bound itself to."""
+        """Reserve units if they are allocated and the committed spend limits allow it."""
         if amount <= self._headroom() and reserve(self.allocation, amount):
-            self._needs.forget_refused(amount)
+            self._shortfalls.forget_refused(amount)
             return True
         return False
 
     def wait_s(self, amount: int) -> float | None:
-        """Return when the pace allows an amount that is in hand, seconds; None if it is not."""
-        return self.bounds.wait_s(amount)
+        """Return the wait until the limits allow an amount, seconds; None if they never will."""
+        return self.limits.wait_s(amount)
 
     def _headroom(self) -> int:
         """Return the units that may be reserved now."""
-        return self.bounds.headroom(self.prepaid or 0)
+        return self.limits.headroom(self.prepaid or 0)
 
-    def ask_if_low(self) -> None:
-        """Have the hand refilled ahead of need."""
+    def refill_if_low(self) -> None:
+        """Request a refill if the allocation is below its low watermark."""
         if is_low(self.allocation.available, self._target(), self._options):
-            self._ask()
+            self._request_update()
 
     async def wait_for(self, amount: int, until: float) -> bool:
-        """Reserve units as soon as they are granted; return False if they are not in time."""
-        self._needs.waiting.append(amount)
+        """Reserve units as soon as they are granted; return False if that is not by `until`."""
+        self._shortfalls.waiting.append(amount)
         try:
             with trio.move_on_at(until):
                 while not self.try_reserve(amount):
-                    if self._is_fresh() and self.is_spent(amount):
+                    if self._is_fresh() and self.is_exhausted(amount):
                         return False
-                    self._ask()
+                    self._request_update()
                     await self._changed.wait()
                 return True
         finally:
-            self._needs.waiting.remove(amount)
-        self._note_lack(amount)
+            self._shortfalls.waiting.remove(amount)
+        self._report_shortfall(amount)
         return False
 
-    def _note_lack(self, amount: int) -> None:
-        """Have others told that a caller comes back for units that lie in their hands."""
-        if self._is_fresh() and amount > self.allocation.available and not self.is_spent(amount):
-            again_s = self._options.retry_after_s * NEED_RETRIES
-            self._needs.note_refused(amount, trio.current_time() + again_s)
-            self._ask()
-
-    def is_spent(self, amount: int) -> bool:
-        """Return whether no hand of any router can cover an amount, as of the last read."""
+    def _report_shortfall(self, amount: int) -> None:
+        """Report a shortfall that other routers can cover, for the caller's retry."""
+        if (
+            self._is_fresh()
+            and amount > self.allocation.available
+            and not self.is_exhausted(amount)
+        ):
+            again_s = self._options.retry_after_s * SHORTFALL_RETRIES
+            self._shortfalls.note_refused(amount, trio.current_time() + again_s)
+            self._request_update()
+
+    def is_exhausted(self, amount: int) -> bool:
+        """Return whether no router can cover an amount, as of the last ledger read."""
         if self.prepaid is None or not self.loaded:
             return False
-        own_unreported = self.allocation.spent - self._written.spent
+        own_unreported = self.allocation.spent - self._written_holding.spent
         return self._left() - own_unreported < amount
 
     def _is_fresh(self) -> bool:
-        """Return whether the ledger was read lately, so that a refusal may rest on it."""
-        return trio.current_time() - self._ledger_at <= 2 * self._options.read_s
+        """Return whether the ledger was read recently enough to base a refusal on it."""
+        return trio.current_time() - self._ledger_read_at <= 2 * self._options.read_interval_s
 
     def set_prepaid(self, prepaid: int) -> None:
-        """Take the budget in force; a lower one takes back what lies idle in the hand."""
+        """Apply the configured budget; a lower one releases all unreserved units."""
         if self.prepaid is not None and prepaid < self.prepaid:
             take_back(self.allocation, self.allocation.available)
         self.prepaid = prepaid
         self._log_ledger()
-        self._ask()
+        self._request_update()
 
     def return_unreserved(self) -> None:
-        """Return all that no request has reserved."""
+        """Return all units that no request has reserved."""
         take_back(self.allocation, self.allocation.available)
-        self._ask()
+        self._request_update()
 
     @property
     def is_returning(self) -> bool:
-        """True while units are out of the hand and not yet out of the ledger."""
-        return self.allocation.granted < self._written.granted
+        """True while units have left the allocation but not yet the ledger."""
+        return self.allocation.granted < self._written_holding.granted
 
     def log_refusal(self, amount: int, store_reached: bool, ledger_age_ms: int | None) -> None:
-        """Say and count what a refusal rests on."""
+        """Log and count a refusal with its cause."""
         state = self._state()
         cause = refusal_cause(
             state, amount, self.allocation.available, store_reached, self.allocation.reserved
         )
-        self._holder.counters.add(f"budget_refused_{cause.replace('-', '_')}")
+        self._process.counters.add(f"budget_refused_{cause.replace('-', '_')}")
         logger.bind(
             cause=cause,
             account=self.account,
@@ -235,13 +252,13 @@
         ).info("budget-refused")
 
     def _state(self) -> AccountState | None:
-        """Return where the budget's units are, None if it or its ledger is not known."""
+        """Return the state of the budget's units, or None if budget or ledger is unknown."""
         if self.prepaid is None or not self.loaded:
             return None
         return state_of(self._ledger, self.prepaid)
 
     def _log_ledger(self) -> None:
-        """Say where the budget's units are, once it is known and when that has changed much."""
+        """Log the state of the budget's units when it first is known or changed significantly."""
         if self.prepaid is None or not self.loaded:
             return
         state = self._schedule.next(self._ledger, self.prepaid, trio.current_time())
@@ -250,137 +267,142 @@
 
     # -- the ledger ---------------------------------------------------------------------------
 
-    def take_ledger(self, ledger: Ledger, own_append: ClockReading = NO_CLOCK_READING) -> None:
-        """Take the ledger as it was read now; see `PeerReports.observe`."""
+    def apply_ledger(self, ledger: Ledger, own_append: ClockReading = NO_CLOCK_READING) -> None:
+        """Apply the ledger as read now; for `own_append` see `PeerReports.observe`."""
         if not self.loaded:
             self._peers.forget()
-        if self._is_copy_due:
-            self._take_copy(ledger)
-        self._peers.observe(ledger, own_append, self._holder.clocks.read())
+        if self._is_rollback_pending:
+            self._apply_rolled_back_ledger(ledger)
+        self._peers.observe(ledger, own_append, self._process.clocks.read())
         self._ledger = ledger
-        self._ledger_at = trio.current_time()
+        self._ledger_read_at = trio.current_time()
         self.loaded = True
         others = ledger.by_instance.items()
         needs = {
-            held.incarnation: held.need
+            held.incarnation: held.shortfall
             for instance, held in others
-            if held.need and instance != self._holder.instance
+            if held.shortfall and instance != self._process.instance
         }
-        self._needs.note_seen(needs, self._ledger_at)
+        self._shortfalls.update_seen(needs, self._ledger_read_at)
         self._log_ledger()
 
-    def note_rise(self) -> None:
-        """Record that the next ledger is one of a store that came back older."""
-        self._is_copy_due = True
-        self.bounds.reports.note_rise()
+    def on_era_rise(self) -> None:
+        """Handle a rise of the store's era: the next ledger comes from a rolled-back store."""
+        self._is_rollback_pending = True
+        self.limits.reports.on_era_rise()
 
-    def _take_copy(self, ledger: Ledger) -> None:
-        """Have what this process holds said again, whatever the copy has of it.
+    def _apply_rolled_back_ledger(self, ledger: Ledger) -> None:
+        """Report this process's holding again, whatever the rolled-back ledger has of it.
 
-        What is known of peers was read in the former era and proves nothing.
+        Observations of peers date from the previous era and prove nothing in this one.
         """
-        self._is_copy_due = False
-        own = ledger.by_instance.get(self._holder.instance)
-        incarnation = self._holder.incarnation
+        self._is_rollback_pending = False
+        own = ledger.by_instance.get(self._process.instance)
+        incarnation = self._process.incarnation
         is_own = own is not None and own.incarnation == incarnation
-        self._written = own if is_own else Holding(incarnation)
-        self._is_to_say_again = bool(self.allocation.granted or self.allocation.spent or is_own)
+        self._written_holding = own if is_own else Holding(incarnation)
+        self._must_report_again = bool(self.allocation.granted or self.allocation.spent or is_own)
         self._peers.forget()
 
     @property
-    def is_waited_for(self) -> bool:
-        """True while requests wait for a change of the ledger that can be made."""
-        return bool(self._needs.waiting) and self._place.is_open() and not self.is_held_unread
+    def has_waiting_requests(self) -> bool:
+        """True while requests wait for a ledger change that can be made now."""
+        return (
+            bool(self._shortfalls.waiting)
+            and self._partition.is_open()
+            and not self.is_waiting_for_readers
+        )
 
     @property
-    def is_held_unread(self) -> bool:
-        """True while requests wait for others to have read what was granted for them."""
-        if not self._place.era or not self._needs.waiting:
+    def is_waiting_for_readers(self) -> bool:
+        """True while requests only wait until other routers have read their grant."""
+        if not self._partition.era or not self._shortfalls.waiting:
             return False
-        return self.bounds.within_limits() >= min(self._needs.waiting)
+        return self.limits.within_limits() >= min(self._shortfalls.waiting)
 
     def is_due(self) -> bool:
-        """Return whether the ledger should be changed."""
-        if not self.loaded or self._is_at_rest():
+        """Return whether this process should change the ledger."""
+        if not self.loaded or self._is_unused():
             return False
-        wanting = self._is_wanting() or self._is_report_due() or self._idle() > 0
+        wanting = self._wants_units() or self._is_report_due() or self._excess_units() > 0
         if wanting or self._returnable(self._ledger):
             return True
-        return self._is_need_due(self._lacking())
+        return self._is_shortfall_report_due(self._shortfall())
 
-    def _is_at_rest(self) -> bool:
-        """Return whether no request of the account ever came here, and nothing of it lies here.
+    def _is_unused(self) -> bool:
+        """Return whether the account never had traffic, units or preallocation at this router.
 
-        Nothing is due then at a router that keeps nothing ahead of need. Most routers of a large
-        fleet are such ones for most accounts, and look twice a second: with 40 accounts it took a
-        third of an idle router's processor time.
+        Such an account needs no ledger change. Most accounts are unused at most routers of a large
+        fleet; checking 40 of them in full twice a second took a third of an idle router's CPU time.
         """
         allocation = self.allocation
         is_unused = not (
-            self._traffic.typical or allocation.granted or allocation.spent or self._written.granted
+            self._traffic.typical
+            or allocation.granted
+            or allocation.spent
+            or self._written_holding.granted
         )
-        return is_unused and not self._ledger.unproved and not self._holder.routers()
+        return is_unused and not self._ledger.unproved and not self._process.routers()
 
     def wake(self) -> None:
-        """Have the waiting requests look at the hand again."""
+        """Make the waiting requests try to reserve again."""
         self._changed.set()
         self._changed = trio.Event()
 
     def plan(self) -> LedgerChange | None:
-        """Return the next change of the ledger, or None if it needs none."""
+        """Return the next ledger change, or None if none is needed."""
         if not self.loaded:
             return None
         ledger = ledger_from_bytes(ledger_to_bytes(self._ledger))
-        if not self._place.is_open():
-            return self._plan_saying(ledger)
-        holder = self._holder
-        former = close_former(
-            ledger, holder.instance, holder.incarnation, holder.started, holder.address
+        if not self._partition.is_open():
+            return self._plan_report(ledger)
+        process = self._process
+        predecessor = close_predecessor(
+            ledger, process.instance, process.incarnation, process.started_at, process.address
         )
-        take_back(self.allocation, self._idle())
+        take_back(self.allocation, self._excess_units())
         own = self._holding()
-        account_for(ledger, holder.instance, own)
+        set_holding(ledger, process.instance, own)
         returned = {
             name: return_unproved(ledger, name, used)
             for name, used in self._returnable(ledger).items()
         }
-        granted = self._grantable(ledger)
-        lacking = max(0, self._lacking() - granted)
-        due = self._is_report_due() or self._is_need_due(lacking)
-        if not (former or returned or granted or due):
+        granted = self._grantable_units(ledger)
+        units_lacking = max(0, self._shortfall() - granted)
+        due = self._is_report_due() or self._is_shortfall_report_due(units_lacking)
+        if not (predecessor or returned or granted or due):
             return None
         own.granted += granted
-        own.need = self._needs.next_need(lacking)
+        own.shortfall = self._shortfalls.next_shortfall(units_lacking)
         own.limit = self._next_limit()
-        account_for(ledger, holder.instance, own)
-        return LedgerChange(own, granted, former, returned, ledger)
+        set_holding(ledger, process.instance, own)
+        return LedgerChange(own, granted, predecessor, returned, ledger)
 
-    def _plan_saying(self, ledger: Ledger) -> LedgerChange | None:
-        """Return what this process says of itself in an era that is not open."""
+    def _plan_report(self, ledger: Ledger) -> LedgerChange | None:
+        """Return a change that only reports this process's holding, in an era not yet open."""
         if not self._is_report_due():
             return None
         own = self._holding()
         own.limit = self._next_limit()
-        account_for(ledger, self._holder.instance, own)
-        return LedgerChange(own, 0, None, {}, self._place.as_written(self.account, ledger))
+        set_holding(ledger, self._process.instance, own)
+        return LedgerChange(own, 0, None, {}, self._partition.to_write(self.account, ledger))
 
     def _holding(self) -> Holding:
-        """Return what this process holds, as of now."""
+        """Return the current holding of this process."""
         return Holding(
-            self._holder.incarnation,
+            self._process.incarnation,
             self.allocation.granted,
             self.allocation.spent,
             self.billed_requests,
-            address=self._holder.address,
-            era=self._place.era,
-            read=self._place.read_end if self._place.era else 0,
+            address=self._process.address,
+            era=self._partition.era,
+            read_offset=self._partition.read_end if self._partition.era else 0,
         )
 
     def _returnable(self, ledger: Ledger) -> dict[str, int]:
-        """Return what dead processes can have used, by instance, where that is not all."""
+        """Return the most that dead processes can have used, by instance, where units are left."""
         used_by_instance = {
-            name: self._peers.used_at_most(dead.incarnation)
-            for name, dead in ledger.unproved.items()
+            name: self._peers.max_used(dead.incarnation) for name, dead in ledger.unproved.items()
         }
         return {
             name: used
@@ -389,55 +411,55 @@
         }
 
     def _next_limit(self) -> SpendLimit | None:
-        """Return the limit of the next report, kept to from now on beside the one in force."""
+        """Return the next report's spend limit; it applies from now on, with the current one."""
         now = trio.current_time()
-        burst = burst_units(self._traffic, now, self._options) + sum(self._needs.waiting)
-        return self.bounds.next_limit(burst, pace_units(self._traffic, now, self._options))
+        burst = burst_units(self._traffic, now, self._options) + sum(self._shortfalls.waiting)
+        return self.limits.next_limit(burst, pace_units(self._traffic, now, self._options))
 
-    def take(self, change: LedgerChange) -> None:
-        """Take a change that is in the ledger now."""
+    def apply_change(self, change: LedgerChange) -> None:
+        """Apply a change that was appended to the ledger."""
         self.allocation.granted += change.granted
-        self._written = change.holding
+        self._written_holding = change.holding
         self._reported_at = trio.current_time()
-        self._is_to_say_again = False
-        self.bounds.take(change.holding.limit)
-        if change.former:
-            self._log_closed(change.former)
+        self._must_report_again = False
+        self.limits.apply(change.holding.limit)
+        if change.predecessor:
+            self._log_closed_holding(change.predecessor)
         for instance, units in change.returned.items():
-            self._holder.counters.add("budget_units_returned", units)
+            self._process.counters.add("budget_units_returned", units)
             bound = logger.bind(account=self.account, instance=instance, units=units)
             bound.info("peers-hand-returned")
 
-    def _log_closed(self, former: Holding) -> None:
-        """Say and count what became of the hand of the process before."""
-        holder = self._holder
-        charged = units_charged(former, holder.started)
-        units, returned = charged - former.spent, former.granted - charged
-        holder.counters.add("budget_units_written_off", units)
-        holder.counters.add("budget_units_returned", returned)
-        proof = proof_of(former.limit, holder.started)
+    def _log_closed_holding(self, predecessor: Holding) -> None:
+        """Log and count how the previous process's holding was closed."""
+        process = self._process
+        charged = charged_units(predecessor, process.started_at)
+        units, returned = charged - predecessor.spent, predecessor.granted - charged
+        process.counters.add("budget_units_written_off", units)
+        process.counters.add("budget_units_returned", returned)
+        proof = proof_of(predecessor.limit, process.started_at)
         logger.bind(account=self.account, units=units, returned=returned, **asdict(proof)).info(
             "former-hand-closed"
         )
 
     def is_written(self, change: LedgerChange) -> bool:
-        """Return whether the ledger as read has a change; only this process writes its holding."""
-        return is_same_report(self._ledger.by_instance.get(self._holder.instance), change.holding)
+        """Return whether the ledger contains a change; only this process writes its own holding."""
+        return is_same_report(self._ledger.by_instance.get(self._process.instance), change.holding)
 
-    def _grantable(self, ledger: Ledger) -> int:
-        """Return the units that the ledger can grant of those wanted."""
-        if self.prepaid is None or not self._is_wanting():
+    def _grantable_units(self, ledger: Ledger) -> int:
+        """Return how many of the wanted units the ledger can grant."""
+        if self.prepaid is None or not self._wants_units():
             return 0
-        missing = self._needs.missing(self.allocation.available)
-        short = self._target() - self.allocation.available - missing
-        in_hands = committed(ledger) - reported_spend(ledger)
-        ahead = max(0, self._most_ahead() - in_hands)
-        kept = self._needs.kept_for_callers(trio.current_time())
-        free = self.prepaid - committed(ledger) - missing - kept
-        wanted = missing + max(0, min(short, ahead, free))
-        waiting = self._needs.waiting
-        least = max(0, min(waiting) - self.allocation.available) if waiting else 0
-        amount = grant(ledger, self.prepaid, wanted, least)
+        missing = self._shortfalls.waiting_shortfall(self.allocation.available)
+        below_target = self._target() - self.allocation.available - missing
+        allocated = committed(ledger) - reported_spend(ledger)
+        preallocatable = max(0, self._max_preallocated() - allocated)
+        held_back = self._shortfalls.held_for_callers(trio.current_time())
+        free = self.prepaid - committed(ledger) - missing - held_back
+        wanted = missing + max(0, min(below_target, preallocatable, free))
+        waiting = self._shortfalls.waiting
+        minimum = max(0, min(waiting) - self.allocation.available) if waiting else 0
+        amount = grant(ledger, self.prepaid, wanted, minimum)
         if not amount:
             self._refill_refused_at = trio.current_time()
         return amount
@@ -445,88 +467,96 @@
     # -- sizes --------------------------------------------------------------------------------
 
     def _left(self) -> int:
-        """Return the units of the budget that nobody has reported as spent."""
+        """Return the units of the budget not reported as spent."""
         return max(0, (self.prepaid or 0) - reported_spend(self._ledger))
 
     def _target(self) -> int:
-        """Return the units that should be in hand."""
-        if not self._holder.spreading or not self.prepaid:
+        """Return the allocation's target size, units."""
+        if not self._process.preallocating or not self.prepaid:
             return 0
         return target_units(
             self._traffic,
             self._left(),
-            self._holder.routers(),
+            self._process.routers(),
             trio.current_time(),
             self._options,
             self._horizon_s(),
-            self._most_ahead(),
+            self._max_preallocated(),
         )
 
-    def _most_ahead(self) -> int:
-        """Return the units that may lie in all hands together ahead of need."""
+    def _max_preallocated(self) -> int:
+        """Return the most units that all routers together may preallocate."""
         lost = written_off(self._ledger)
-        return ahead_units(self._left(), self.prepaid or 0, lost, self._options)
+        return max_preallocated_units(self._left(), self.prepaid or 0, lost, self._options)
 
-    def _is_wanting(self) -> bool:
-        """Return whether to ask for units; ahead of need not while a refusal is fresh."""
-        if self._holder.leaving:
+    def _wants_units(self) -> bool:
+        """Return whether to ask for a grant; a refused refill waits for a read interval."""
+        if self._process.leaving:
             return False
-        if self._needs.missing(self.allocation.available) > 0:
+        if self._shortfalls.waiting_shortfall(self.allocation.available) > 0:
             return True
-        fresh = trio.current_time() - self._refill_refused_at < self._options.read_s
-        return not fresh and is_low(self.allocation.available, self._target(), self._options)
+        refused_recently = (
+            trio.current_time() - self._refill_refused_at < self._options.read_interval_s
+        )
+        return not refused_recently and is_low(
+            self.allocation.available, self._target(), self._options
+        )
 
-    def _idle(self) -> int:
-        """Return the units to give back: all at a shutdown, else what the traffic needs no more."""
-        if self._holder.leaving:
+    def _excess_units(self) -> int:
+        """Return the units to give back: all at shutdown, else what local traffic does not need."""
+        if self._process.leaving:
             return self.allocation.available
         if self.is_returning:
             return 0
-        keep = self._target() + sum(self._needs.waiting)
-        idle = idle_units(self.allocation.available, keep, self._traffic.typical, self._options)
-        return max(idle, self._recalled())
+        keep = self._target() + sum(self._shortfalls.waiting)
+        excess = excess_units(self.allocation.available, keep, self._traffic.typical, self._options)
+        return max(excess, self._units_for_others())
 
-    # -- needs --------------------------------------------------------------------------------
+    # -- shortfalls ---------------------------------------------------------------------------
 
-    def _lacking(self) -> int:
-        """Return the units that callers here lack together."""
-        if self._holder.leaving:
+    def _shortfall(self) -> int:
+        """Return the units that waiting and retrying callers lack here in total."""
+        if self._process.leaving:
             return 0
-        return self._needs.lacking(self.allocation.available, trio.current_time())
+        return self._shortfalls.total_shortfall(self.allocation.available, trio.current_time())
 
-    def _recalled(self) -> int:
-        """Return the units in hand that others lack and the traffic here does not."""
+    def _units_for_others(self) -> int:
+        """Return the units that other routers lack and local traffic does not need."""
         now = trio.current_time()
-        lacking = self._lacking()
-        theirs = self._needs.of_others(lacking, now)
-        if not theirs or self.prepaid is None:
+        units_lacking = self._shortfall()
+        others_shortfall = self._shortfalls.shortfall_of_others(units_lacking, now)
+        if not others_shortfall or self.prepaid is None:
             return 0
-        for_callers = units_for_callers(self.allocation.available, self._needs.callers(now))
-        soon = 0 if lacking else self._soon()
-        spare = spare_units(self.allocation.available, self._traffic.typical, soon, for_callers)
-        return units_to_return(theirs, self.prepaid - committed(self._ledger), spare)
+        for_callers = units_for_callers(
+            self.allocation.available, self._shortfalls.pending_amounts(now)
+        )
+        near_term = 0 if units_lacking else self._near_term_units()
+        spare = spare_units(
+            self.allocation.available, self._traffic.typical, near_term, for_callers
+        )
+        return units_to_return(others_shortfall, self.prepaid - committed(self._ledger), spare)
 
-    def _is_need_due(self, lacking: int) -> bool:
-        """Return whether others should know what is lacking here."""
+    def _is_shortfall_report_due(self, units_lacking: int) -> bool:
+        """Return whether to report the local shortfall now."""
         age_s = trio.current_time() - self._reported_at
-        return is_renewal_due(self._written.need, lacking, age_s)
+        return is_renewal_due(self._written_holding.shortfall, units_lacking, age_s)
 
-    def _soon(self) -> int:
-        """Return the units that the traffic here is likely to need in the next moments."""
+    def _near_term_units(self) -> int:
+        """Return the units that local traffic is likely to need in the near term."""
         traffic = self._traffic
         rate = rate_at(traffic, traffic.seen_at, self._options.rate_window_s)
-        return soon_units(rate, traffic.typical, trio.current_time() - traffic.seen_at)
+        return near_term_units(rate, traffic.typical, trio.current_time() - traffic.seen_at)
 
-    def _is_held_by_limit(self) -> bool:
-        """Return whether a waiting request is in hand and beyond the limit."""
-        least = min(self._needs.waiting, default=math.inf)
-        return self.bounds.within_limits() < least <= self.allocation.available
+    def _is_blocked_by_limit(self) -> bool:
+        """Return whether a waiting request has enough units but exceeds the spend limit."""
+        minimum = min(self._shortfalls.waiting, default=math.inf)
+        return self.limits.within_limits() < minimum <= self.allocation.available
 
     def _is_report_due(self) -> bool:
-        """Return whether others should know what was spent, or the limit is to be renewed."""
-        if self._is_to_say_again or self.is_returning or self._is_held_by_limit():
+        """Return whether to report spending or to renew the spend limit."""
+        if self._must_report_again or self.is_returning or self._is_blocked_by_limit():
             return True
-        if trio.current_time() - self._reported_at < self._options.report_s:
+        if trio.current_time() - self._reported_at < self._options.report_interval_s:
             return False
-        is_growing = self.bounds.are_growing() and self.allocation.available > 0
-        return is_growing or self.allocation.spent != self._written.spent
+        is_growing = self.limits.any_growing() and self.allocation.available > 0
+        return is_growing or self.allocation.spent != self._written_holding.spent
--- a/railtide/budgets/account_log.py
+++ b/railtide/budgets/account_log.py
@@ -1,7 +1,7 @@
-"""What log lines and counters say of an account's budget, and when a line is due. Pure.
+"""The contents and rate of log lines and counters on an account's budget. Pure.
 
-An on-call person tells by them why little is served after many routers were lost: units were
-written off, lie in other routers' hands, or the way back takes too long (`docs/OPERATIONS.md`).
+They tell operators why little is served after many routers were lost: units were written off, are
+allocated to other routers, or take too long to return (`docs/OPERATIONS.md`).
 """
 
 import math
@@ -14,44 +14,44 @@
 __all__ = [
     "AccountState",
     "ClockProof",
-    "LineAllowance",
-    "LineSchedule",
+    "LogTokenBucket",
+    "LedgerLogSchedule",
     "Proof",
     "RefusalCause",
     "refusal_cause",
-    "is_news",
+    "is_significant_change",
     "proof_of",
     "state_of",
 ]
 
-LEAST_S = 3.0
-"""Least time between two lines on one account's ledger; ledgers are read every second."""
-NEWS_SHARE = 0.1
-"""Part of a budget that must have changed place for a line; any write-off is news."""
-BURST_LINES = 100
-"""Lines on ledgers at once, for all accounts of a process: a quarter of what it may write in a
-second. What is left out then is said at a later read."""
+MIN_INTERVAL_S = 3.0
+"""Minimum time between two log lines on one account's ledger; ledgers are read every second."""
+SIGNIFICANT_SHARE = 0.1
+"""Fraction of a budget that must have moved to be logged; any write-off is logged."""
+MAX_BURST_LINES = 100
+"""Maximum burst of log lines on ledgers for all accounts of a process: a quarter of what it may
+write in a second. Skipped lines are logged at a later read."""
 LINES_PER_S = 20.0
-"""The same in the long run."""
+"""Sustained rate of log lines on ledgers, lines a second."""
 
 
 @dataclass(frozen=True)
 class AccountState:
-    """Where the units of a budget are, as a ledger says. The other four add up to `prepaid`.
+    """The state of a budget's units by its ledger. The other four fields add up to `prepaid`.
 
     Attributes
     ----------
     prepaid : int
         The budget in force.
     spent : int
-        Spent, as far as reported.
+        Units spent, as far as reported.
     written_off : int
-        Counted as spent for processes that are gone, beyond what they reported.
+        Units of dead processes that count as spent beyond what they reported.
     in_hands : int
-        Granted and not reported as spent. A dead process's hand is among them until the next
+        Units granted and not reported as spent. Includes a dead process's holding until the next
         process of its instance closes it.
     left : int
-        Free to be granted; negative after a lowered budget.
+        Units left to be granted; negative after the budget was lowered.
     """
 
     prepaid: int
@@ -62,7 +62,7 @@
 
 
 def state_of(ledger: Ledger, prepaid: int) -> AccountState:
-    """Return where the units of a budget are.
+    """Return the state of a budget's units.
 
     Examples
     --------
@@ -74,8 +74,8 @@
     return AccountState(prepaid, reported - lost, lost, out - reported, prepaid - out)
 
 
-def is_news(before: AccountState | None, now: AccountState) -> bool:
-    """Return whether a state differs enough from the one that was told last."""
+def is_significant_change(before: AccountState | None, now: AccountState) -> bool:
+    """Return whether a state differs enough from the last logged one to be logged."""
     if before is None:
         return True
     if (before.prepaid, before.written_off) != (now.prepaid, now.written_off):
@@ -85,64 +85,65 @@
         abs(now.in_hands - before.in_hands),
         abs(now.left - before.left),
     )
-    return moved >= max(1, now.prepaid * NEWS_SHARE)
+    return moved >= max(1, now.prepaid * SIGNIFICANT_SHARE)
 
 
 @dataclass
-class LineAllowance:
-    """How many lines on ledgers a process may write now.
+class LogTokenBucket:
+    """A token bucket that limits a process's log lines on ledgers.
 
     Examples
     --------
-    >>> LineAllowance(lines=1.0, at=5.0).take(5.0)
+    >>> LogTokenBucket(tokens=1.0, at=5.0).take(5.0)
     True
-    >>> LineAllowance(lines=0.0, at=5.0).take(5.0)
+    >>> LogTokenBucket(tokens=0.0, at=5.0).take(5.0)
     False
     """
 
-    lines: float = BURST_LINES
+    tokens: float = MAX_BURST_LINES
     at: float = -math.inf
 
     def take(self, now: float) -> bool:
-        """Take one; return False if there is none."""
-        self.lines = min(BURST_LINES, self.lines + (now - self.at) * LINES_PER_S)
+        """Take a token; return False if there is none."""
+        self.tokens = min(MAX_BURST_LINES, self.tokens + (now - self.at) * LINES_PER_S)
         self.at = now
-        if self.lines < 1:
+        if self.tokens < 1:
             return False
-        self.lines -= 1
+        self.tokens -= 1
         return True
 
 
 @dataclass
-class LineSchedule:
-    """When a line on one account's ledger is due.
+class LedgerLogSchedule:
+    """Decides when to log the state of one account's ledger.
 
     Attributes
     ----------
-    allowance : LineAllowance
+    bucket : LogTokenBucket
         Shared by all accounts of the process.
-    told : AccountState or None
-        What the last line said.
-    told_at : float
+    last_logged : AccountState or None
+        The state in the last log line.
+    last_logged_at : float
+        When that line was logged.
     """
 
-    allowance: LineAllowance
-    told: AccountState | None = None
-    told_at: float = -math.inf
+    bucket: LogTokenBucket
+    last_logged: AccountState | None = None
+    last_logged_at: float = -math.inf
 
     def next(self, ledger: Ledger, prepaid: int, now: float) -> AccountState | None:
-        """Return the state that is to be told now, None if no line is due."""
-        if now - self.told_at < LEAST_S:
+        """Return the state to log now, or None if no line is due."""
+        if now - self.last_logged_at < MIN_INTERVAL_S:
             return None
         state = state_of(ledger, prepaid)
-        if not is_news(self.told, state) or not self.allowance.take(now):
+        if not is_significant_change(self.last_logged, state) or not self.bucket.take(now):
             return None
-        self.told, self.told_at = state, now
+        self.last_logged, self.last_logged_at = state, now
         return state
 
 
 class ClockProof(StrEnum):
-    """What the clocks say of a dead process's last report."""
+    """Whether the clocks prove the time since a dead process's last report, or why not."""
 
     PROVED = "proved"
     NO_LIMIT = "no-limit"
@@ -159,8 +160,8 @@
     ----------
     clocks : ClockProof
     since_report_s : float or None
-        From the last report to the start of the next process: by the steady clock if proved, else
-        by the time of day, which proves nothing. None without a report's time.
+        Time from the last report to the start of the next process: by the steady clock if proved,
+        else by the wall clock, which proves nothing. None if the time of the report is unknown.
     """
 
     clocks: ClockProof
@@ -168,7 +169,7 @@
 
 
 def proof_of(limit: SpendLimit | None, started: ClockReading) -> Proof:
-    """Return what clocks prove of a limit for a process that started then.
+    """Return what the clocks prove of a predecessor's limit for a process started at `started`.
 
     Examples
     --------
@@ -180,18 +181,18 @@
         return Proof(ClockProof.NO_LIMIT, None)
     if not started.boot:
         return Proof(ClockProof.BOOT_UNKNOWN, None)
-    proved_s = elapsed_s(limit.made, started)
+    proved_s = elapsed_s(limit.made_at, started)
     if proved_s is not None:
         return Proof(ClockProof.PROVED, round(proved_s, 3))
-    same_boot = limit.made.boot == started.boot
+    same_boot = limit.made_at.boot == started.boot
     clocks = ClockProof.CLOCKS_DISAGREE if same_boot else ClockProof.ANOTHER_BOOT
-    return Proof(clocks, round(started.wall_s - limit.made.wall_s, 3))
+    return Proof(clocks, round(started.wall_s - limit.made_at.wall_s, 3))
 
 
 class RefusalCause(StrEnum):
-    """Why a request was refused for budget, as of what this process knew.
+    """Why a request was refused for lack of budget, as far as this process knew.
 
-    `*-store-away`: the store did not answer last.
+    `*-store-away`: the store did not answer the latest call.
     """
 
     SPEND_LIMIT = "spend-limit"
@@ -213,12 +214,12 @@
     Parameters
     ----------
     state : AccountState or None
-        None before the ledger was read or the budget known.
+        None before the ledger was read or the budget was known.
     amount, in_hand : int
-        Asked for, and in the hand of this router.
+        The units asked for, and those available at this router.
     store_reached : bool
     reserved : int
-        By requests under way at this router.
+        Units reserved by open requests at this router.
 
     Examples
     --------
--- a/railtide/budgets/allocation.py
+++ b/railtide/budgets/allocation.py
@@ -1,6 +1,6 @@
-"""The part of one budget that a router has in hand. Pure.
+"""The units of one budget that are allocated to a router. Pure: no I/O, no clock.
 
-`available` shrinks when a request is reserved and grows when it is settled below its reserve.
+`available` shrinks when a request reserves units and grows when it settles below its reserve.
 `exposed` counts the reserves dispatched without a durable intent.
 """
 
@@ -19,7 +19,7 @@
 
 @dataclass
 class Allocation:
-    """Units granted and what became of them."""
+    """Units granted to a router, and how many of them are spent, reserved and exposed."""
 
     granted: int = 0
     spent: int = 0
@@ -34,12 +34,12 @@
 
 
 def reserve(allocation: Allocation, amount: int) -> bool:
-    """Reserve units; False if not so many are available.
+    """Reserve units; return False, with nothing changed, if too few are available.
 
     Examples
     --------
-    >>> hand = Allocation(granted=10)
-    >>> reserve(hand, 8), reserve(hand, 8)
+    >>> allocation = Allocation(granted=10)
+    >>> reserve(allocation, 8), reserve(allocation, 8)
     (True, False)
     """
     if amount > allocation.available:
@@ -49,22 +49,22 @@
 
 
 def settle_reserve(allocation: Allocation, amount: int, used: int) -> int:
-    """End a reserve at what was used, at most the reserve; return the units spent."""
+    """End a reserve of `amount` with the units used, capped at it; return the units spent."""
     spent = min(used, amount)
     allocation.reserved -= amount
     allocation.spent += spent
     return spent
 
 
-def take_back(allocation: Allocation, most: int) -> int:
-    """Remove up to `most` available units from the hand, for a return; return how many."""
-    amount = max(0, min(most, allocation.available))
+def take_back(allocation: Allocation, maximum: int) -> int:
+    """Remove up to `maximum` available units, to return them to the budget; return how many."""
+    amount = max(0, min(maximum, allocation.available))
     allocation.granted -= amount
     return amount
 
 
 def can_expose(allocation: Allocation, amount: int) -> bool:
-    """Return whether so much more may be dispatched before its intent is durable."""
+    """Return whether another `amount` may be dispatched before its intent is durable."""
     return allocation.exposed + amount <= allocation.exposure_limit
 
 
--- a/railtide/budgets/balance.py
+++ b/railtide/budgets/balance.py
@@ -1,4 +1,4 @@
-"""A client account's balance as the log's order decides it. Pure: no I/O, no clock."""
+"""A client account's balance, as folded from the log in its order. Pure: no I/O, no clock."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass, field
@@ -21,18 +21,18 @@
 
 @dataclass
 class Holding:
-    """What one holder has of one budget.
+    """The part of one budget that one holder has.
 
     Attributes
     ----------
     remaining : int
-        Units granted, less those billed and returned; open reserves are part of it.
+        Units granted, less those billed and returned; includes open reserves.
     exposure : int
-        Most units the holder may have dispatched without a durable intent.
+        Most units that the holder may have dispatched without a durable intent.
     reserved : int
         Sum of the reserves of the holder's open intents.
     fenced : bool
-        True when the holder may take nothing new.
+        Whether the holder is barred from new grants and returns.
     """
 
     remaining: int = 0
@@ -43,10 +43,10 @@
 
 @dataclass
 class Balance:
-    """A budget: what was paid in, billed, used without a bill, and who holds the rest.
+    """A budget: units paid in, billed and wasted, and the holdings of the rest.
 
-    `wasted` counts upstream work whose answer never came; it is not billed to the caller, but it
-    was used, so it can't be spent again.
+    `wasted` counts upstream work whose answer never arrived. It is not billed to the caller but was
+    used, so it can't be spent again.
     """
 
     topped_up: int = 0
@@ -57,7 +57,7 @@
 
 
 def available(balance: Balance) -> int:
-    """Return the units that are neither billed, wasted nor in any hand.
+    """Return the units that are neither billed, wasted nor held.
 
     Examples
     --------
@@ -69,12 +69,12 @@
 
 
 def grant(balance: Balance, holder: str, amount: int, exposure: int) -> bool:
-    """Move `amount` into the holder's hand if the budget covers it at this point of the log.
+    """Move `amount` into the holder's holding if the budget covers it at this point of the log.
 
     Returns
     -------
     bool
-        False, with nothing changed, if the budget is short or the holder is fenced.
+        False, with nothing changed, if the budget does not cover it or the holder is fenced.
 
     References
     ----------
@@ -97,10 +97,10 @@
 
 
 def return_units(balance: Balance, holder: str, amount: int) -> bool:
-    """Return unreserved units to the budget; False if the holder has not that many.
+    """Return unreserved units to the budget; False if the holder has fewer.
 
-    A fence has already given back what its holder returned meanwhile, so a late return of a
-    fenced holder is refused: taking it would free what is withheld.
+    A late return of a fenced holder is refused: the fence has already freed these units, and
+    accepting the return would free withheld ones.
     """
     holding = balance.by_holder.get(holder)
     if holding is None or holding.fenced:
@@ -121,7 +121,7 @@
 
 
 def settle(balance: Balance, holder: str, reserve: int, cost: int, wasted: int = 0) -> int:
-    """Bill `cost` and count `wasted` (together at most `reserve`), and end that reserve.
+    """End a reserve: bill `cost` and count `wasted`, together at most `reserve`.
 
     Returns
     -------
@@ -147,39 +147,39 @@
 
 
 def bill_late(balance: Balance, holder: str, cost: int) -> int:
-    """Bill from the unreserved part of a holding; return the units it had to give."""
+    """Bill from the unreserved part of a holding; return the units that it covered."""
     billed = _take_unreserved(balance, holder, cost)
     balance.billed += billed
     return billed
 
 
 def waste(balance: Balance, holder: str, amount: int) -> int:
-    """Count units of a holding as used without a bill; return how many it had to give."""
+    """Count unreserved units of a holding as wasted; return how many it covered."""
     lost = _take_unreserved(balance, holder, amount)
     balance.wasted += lost
     return lost
 
 
-def _take_unreserved(balance: Balance, holder: str, most: int) -> int:
+def _take_unreserved(balance: Balance, holder: str, maximum: int) -> int:
     holding = balance.by_holder.get(holder)
     if holding is None:
         return 0
-    taken = min(most, holding.remaining - holding.reserved)
+    taken = min(maximum, holding.remaining - holding.reserved)
     holding.remaining -= taken
     return taken
 
 
 def fence_holding(balance: Balance, holder: str) -> int:
-    """End a holding, keeping back all that its holder may still spend.
+    """Fence a holding, withholding all that its holder may still spend.
 
-    A fenced holder may have dispatched its open intents and, beyond those, at most its exposure.
-    Both are withheld; the rest goes back to the budget. This needs no clock: a holder that wakes
-    after any pause can have spent no more than what is withheld.
+    A fenced holder may have dispatched its open intents and beyond those at most its exposure.
+    Both are withheld and the rest goes back to the budget. No clock is needed: a holder that
+    resumes after any pause can't have spent more than what is withheld.
 
     Returns
     -------
     int
-        The units given back to the budget.
+        The units that went back to the budget.
 
     Examples
     --------
@@ -200,9 +200,9 @@
 
 
 def close_holding(balance: Balance, holder: str) -> int:
-    """Remove a holding and return the units that go back to the budget.
+    """Close a holding and return the units that go back to the budget.
 
-    Units reserved for open intents stay with the holding until those are settled.
+    Units reserved for open intents stay in the holding until those are settled.
     """
     holding = balance.by_holder.get(holder)
     if holding is None:
--- a/railtide/budgets/budget_source.py
+++ b/railtide/budgets/budget_source.py
@@ -1,4 +1,4 @@
-"""Where requests get their budget from: the interface of all budget sources."""
+"""The interface through which requests reserve and settle budget."""
 
 from abc import ABC, abstractmethod
 
@@ -8,23 +8,26 @@
 
 
 class BudgetReservation(ABC):
-    """Units kept back for one request until it is settled.
+    """Units reserved for one request until it is settled.
 
     Attributes
     ----------
     amount : int
-        The request's greatest cost, units.
+        The request's maximum cost, units.
     """
 
     amount: int
 
     @abstractmethod
     def settle(self, used: int) -> int:
-        """End the reservation at what was used; return the units spent. Only the first counts."""
+        """End the reservation with the units used; return the units spent.
+
+        Only the first call has an effect; later ones return 0.
+        """
 
 
 class BudgetSource(ABC):
-    """Hands out reservations."""
+    """Reserves units of client accounts' prepaid budgets."""
 
     @abstractmethod
     async def reserve(
@@ -37,14 +40,14 @@
         account : str
         settings : AccountSettings
         amount : int
-            The request's greatest cost, units.
+            The request's maximum cost, units.
         deadline : float
-            Trio time after which the request is of no use.
+            Trio time after which the caller no longer needs an answer.
 
         Raises
         ------
         BudgetExhausted
-            The budget does not cover it.
+            The budget does not cover the amount.
         BudgetUnavailable
-            That can't be told in time.
+            Not enough units could be allocated in time.
         """
--- a/railtide/budgets/errors.py
+++ b/railtide/budgets/errors.py
@@ -1,4 +1,4 @@
-"""Errors of budgets. Each is raised before anything ran."""
+"""Errors of budgets. Each is raised before the request was sent upstream."""
 
 from railtide.errors import RailtideError, Run
 
@@ -6,7 +6,7 @@
 
 
 class BudgetError(RailtideError):
-    """Base of the budgets' errors."""
+    """Base of all budget errors."""
 
     code = "budget-error"
     status = 503
@@ -14,7 +14,7 @@
 
 
 class BudgetExhausted(BudgetError):
-    """The log says that the budget does not cover the request's greatest cost."""
+    """The prepaid budget does not cover the request's maximum cost."""
 
     code = "budget-exhausted"
     status = 402
@@ -22,12 +22,12 @@
 
 
 class BudgetUnavailable(BudgetError):
-    """Nothing is in hand, and the log can't be asked in time."""
+    """The router has too few units allocated and could not obtain more in time."""
 
     code = "budget-unavailable"
 
 
 class ExposureReached(BudgetError):
-    """The log is down, and as much as the account allows has been dispatched without it."""
+    """The log is unreachable and the account's limit of unlogged dispatches is reached."""
 
     code = "exposure-reached"
--- a/railtide/budgets/grant_sizing.py
+++ b/railtide/budgets/grant_sizing.py
@@ -1,4 +1,4 @@
-"""How much budget a router asks for, and how much it gives back. Pure."""
+"""Policies for the size of the grants that a router asks for from the log. Pure."""
 
 from abc import ABC, abstractmethod
 from dataclasses import dataclass
@@ -10,26 +10,28 @@
     "FixedSizing",
     "GrantSizing",
     "exposure_of",
-    "low_water",
+    "low_watermark",
 ]
 
-NEAR_END_SHARE = 2
-LOW_WATER_SHARE = 2
+NEAR_END_DIVISOR = 2
+"""Near the end of a budget a grant is a router's equal share of the rest divided by this."""
+LOW_WATERMARK_DIVISOR = 2
+"""The low watermark is a horizon's worth of traffic divided by this."""
 PERCENT = 100
 
 
 @dataclass(frozen=True)
 class Demand:
-    """What a grant is sized on.
+    """The inputs of a grant's size.
 
     Attributes
     ----------
     need : int
         Units that the waiting request needs beyond those available.
     rate : float
-        Units reserved a second, lately.
+        Recent rate of reserved units, units a second.
     left : int or None
-        Units left in the budget when last heard, if ever.
+        Units left in the budget as of the last verdict; None before the first.
     holders : int
         Routers that callers of this account are sent to.
     """
@@ -43,23 +45,25 @@
 class GrantSizing(ABC):
     """A policy for the size of grants.
 
-    `returns_idle` says whether what traffic does not need goes back to the budget.
+    `returns_idle` tells whether units that traffic does not need are returned to the budget.
     """
 
     returns_idle = True
 
     @abstractmethod
     def size(self, demand: Demand) -> int:
-        """Return the units to ask for, at least the need."""
+        """Return the units to ask for."""
 
 
 class AdaptiveSizing(GrantSizing):
-    """A horizon's worth of traffic, but near the end a share of what is left.
+    """Grants of a horizon's worth of traffic, or a share of the rest near the end of a budget.
 
     Parameters
     ----------
     horizon_s : float
+        Seconds of traffic that a grant covers.
     minimum : int
+        Minimum size while the budget lasts, units.
 
     Examples
     --------
@@ -78,12 +82,12 @@
         wanted = max(demand.need, self._minimum, round(demand.rate * self._horizon_s))
         if demand.left is None:
             return wanted
-        share = demand.left // (NEAR_END_SHARE * max(1, demand.holders))
+        share = demand.left // (NEAR_END_DIVISOR * max(1, demand.holders))
         return max(demand.need, min(wanted, share))
 
 
 class FixedSizing(GrantSizing):
-    """Always the same size; for comparison."""
+    """Grants of a fixed size, as a baseline for comparison."""
 
     def __init__(self, amount: int) -> None:
         self._amount = amount
@@ -94,7 +98,7 @@
 
 
 class EqualShares(GrantSizing):
-    """The whole of this router's equal share at once, and never more; for comparison."""
+    """One grant of this router's equal share and none later, as a baseline for comparison."""
 
     returns_idle = False
 
@@ -108,7 +112,7 @@
 
 
 def exposure_of(amount: int, percent: int) -> int:
-    """Return the exposure of a grant, rounded down.
+    """Return the exposure limit of a grant, rounded down.
 
     Examples
     --------
@@ -118,6 +122,6 @@
     return amount * percent // PERCENT
 
 
-def low_water(rate: float, horizon_s: float) -> int:
-    """Return the units in hand below which a router asks for more ahead of need."""
-    return round(rate * horizon_s / LOW_WATER_SHARE)
+def low_watermark(rate: float, horizon_s: float) -> int:
+    """Return the available units below which a router asks for more ahead of need."""
+    return round(rate * horizon_s / LOW_WATERMARK_DIVISOR)
--- a/railtide/budgets/ledger.py
+++ b/railtide/budgets/ledger.py
@@ -1,10 +1,10 @@
-"""A client account's ledger: one record that says who holds what of its budget. Pure.
+"""A client account's ledger: one record of who holds how much of the budget. Pure.
 
-The whole ledger of an account is the value of one key and is changed by compare-and-swap alone,
-so there is no history to fold: the newest record is the state. A holder may spend what it was
-granted and nothing else, whatever it hears or does not hear of the others. So the budget is kept
-under every cut, pause and kill; of what a lost holder has not returned, all counts as spent that
-it can have spent.
+The whole ledger of an account is the value of one key, changed only by compare-and-swap, so there
+is no history to fold: the newest record is the state. A process may spend what it was granted and
+nothing else, whatever it knows of the others. So the budget is never exceeded under any network
+partition, pause or crash. Of the units that a dead process has not returned, all those count as
+spent that it can have spent.
 
 References
 ----------
@@ -16,14 +16,14 @@
 import msgspec
 
 from railtide.budgets.shortfalls import Shortfall
-from railtide.budgets.spend_limit import COUNT, ClockReading, SpendLimit, most_used
+from railtide.budgets.spend_limit import COUNT, ClockReading, SpendLimit, max_used
 
 __all__ = [
     "LedgerOrigin",
     "Holding",
     "Ledger",
-    "account_for",
-    "close_former",
+    "set_holding",
+    "close_predecessor",
     "committed",
     "grant",
     "is_same_report",
@@ -31,34 +31,34 @@
     "ledger_to_bytes",
     "reported_spend",
     "return_unproved",
-    "units_charged",
+    "charged_units",
     "written_off",
 ]
 
 
 class Holding(msgspec.Struct, array_like=True):
-    """What one process holds of one budget, units, cumulative over its lifetime.
+    """A process's latest report of what it holds of one budget; cumulative over its lifetime.
 
     Attributes
     ----------
     incarnation : str
-        The process.
+        Identifies the process.
     granted : int
-        Granted less returned; what was spent is part of it.
+        Units granted less returned, including those spent.
     spent : int
-        Spent as far as the process has reported.
+        Units spent, as far as reported.
     requests : int
-        Requests billed as far as reported.
+        Requests billed, as far as reported.
     limit : SpendLimit or None
-        What the process binds itself to from this report on.
-    need : Shortfall or None
-        What the process lacks and could not be granted.
+        The spend limit that the process commits to from this report on.
+    shortfall : Shortfall or None
+        Units that the process lacks and could not be granted.
     address : str
-        Where the process listens; empty if it is not known.
+        Where the process listens; empty if unknown.
     era : int
-        The store's era in which the process said this; 0 where the store tells none.
-    read : int
-        Up to which offset it had read the partition then, in that era.
+        The store's era when the report was made; 0 for a store without eras.
+    read_offset : int
+        The offset up to which the process had read the partition then, in that era.
     """
 
     incarnation: str
@@ -66,26 +66,26 @@
     spent: Annotated[int, COUNT] = 0
     requests: Annotated[int, COUNT] = 0
     limit: SpendLimit | None = None
-    need: Shortfall | None = None
+    shortfall: Shortfall | None = None
     address: str = ""
     era: Annotated[int, COUNT] = 0
-    read: Annotated[int, COUNT] = 0
+    read_offset: Annotated[int, COUNT] = 0
 
 
 class LedgerOrigin(msgspec.Struct, array_like=True, frozen=True):
-    """Where the record stood that a ledger was written again from.
+    """The record that a ledger was carried forward from.
 
     Attributes
     ----------
     era, offset : int
-        The era in which it was open, and its offset there.
-    carried_in : int
+        The era in which the ledger was last open, and its record's offset in it.
+    carried_in_era : int
         The era in which it was written again.
     """
 
     era: Annotated[int, COUNT]
     offset: Annotated[int, COUNT]
-    carried_in: Annotated[int, COUNT]
+    carried_in_era: Annotated[int, COUNT]
 
 
 class Ledger(msgspec.Struct, array_like=True):
@@ -94,27 +94,29 @@
     Attributes
     ----------
     closed : int
-        Units of holders that are gone: billed, or held when they were lost.
+        Units of dead processes that count as spent: billed, or possibly spent without a report.
     billed : int
-        Units billed by holders that are gone, as far as they reported.
+        Units billed by dead processes, as far as reported.
     by_instance : dict of str to Holding
-        A new process of an instance proves that the one before it is dead.
+        The holding of each instance's process. A new process of an instance proves that its
+        predecessor is dead.
     unproved : dict of str to Holding
-        By instance, the last holding that was closed in full for want of a proof; a peer that has
-        one returns what was not used. It is counted in `closed` already, so a process that does
-        not know this field, and drops it, only leaves it there.
-    opened : int
-        The era in which it was written while grants could be made; 0 without eras.
-    base : LedgerOrigin or None
-        What it rests on, if it was written again in a later era and not opened in it yet.
+        By instance, the last holding closed in full because nothing proved how much of it was
+        spent. A peer with a proof returns the unused units. They are included in `closed`, so a
+        release that does not know this field and drops it merely leaves them there.
+    opened_era : int
+        The era in which it was last written while grants could be made; 0 without eras.
+    origin : LedgerOrigin or None
+        The record it was carried forward from, if that was in a later era that it has not been
+        opened in yet.
     """
 
     closed: Annotated[int, COUNT] = 0
     billed: Annotated[int, COUNT] = 0
     by_instance: dict[str, Holding] = {}
     unproved: dict[str, Holding] = {}
-    opened: Annotated[int, COUNT] = 0
-    base: LedgerOrigin | None = None
+    opened_era: Annotated[int, COUNT] = 0
+    origin: LedgerOrigin | None = None
 
 
 _encoder = msgspec.msgpack.Encoder()
@@ -122,14 +124,17 @@
 
 
 def ledger_to_bytes(ledger: Ledger) -> bytes:
-    """Return a ledger's encoding."""
+    """Encode a ledger."""
     return _encoder.encode(ledger)
 
 
 def ledger_from_bytes(data: bytes) -> Ledger:
-    """Return a ledger from its encoding; raises `msgspec.DecodeError`.
+    """Decode a ledger.
 
-    That is raised also for figures that no router writes: a negative one would free units.
+    Raises
+    ------
+    msgspec.DecodeError
+        For malformed data, including negative counts, which would free units.
 
     Examples
     --------
@@ -143,7 +148,7 @@
 
 
 def committed(ledger: Ledger) -> int:
-    """Return the units that were spent or may be spent without another grant.
+    """Return the units that are spent or may be spent without another grant.
 
     Examples
     --------
@@ -154,14 +159,14 @@
 
 
 def reported_spend(ledger: Ledger) -> int:
-    """Return the units known to be spent; the true figure lies between this and `committed`."""
+    """Return the units reported as spent; the true value is between this and `committed`."""
     return ledger.closed + sum(held.spent for held in ledger.by_instance.values())
 
 
 def written_off(ledger: Ledger) -> int:
-    """Return the units of dead processes that count as spent beyond what they had reported.
+    """Return the units of dead processes that count as spent but were not reported.
 
-    Some of them may truly have been spent since the last report.
+    Some of them may in fact have been spent after the last report.
 
     Examples
     --------
@@ -171,25 +176,25 @@
     return max(0, ledger.closed - ledger.billed)
 
 
-def close_former(
+def close_predecessor(
     ledger: Ledger, instance: str, incarnation: str, started: ClockReading, address: str = ""
 ) -> Holding | None:
-    """Close the holding of an instance's former process and return it; None if there is none.
+    """Close the holding of an instance's previous process and return it; None if there is none.
 
-    What it had not reported may have been spent. It counts as spent as far as its limit allowed
-    until this process began, read from clocks that both have. Where these prove nothing it is kept
-    in `Ledger.unproved` for a peer, but only if both listened at one address: whoever listens there
-    proves that the former process is gone, and another machine of the name, beside one that is cut
-    off and lives, has another address.
+    Unreported units count as spent as far as the predecessor's spend limit allowed until this
+    process started, by clocks that both share. If the clocks prove nothing, the holding is kept in
+    `Ledger.unproved` for a peer, but only if both processes have the same address: listening there
+    proves that the predecessor is dead. Another machine under the same instance name, started while
+    the first one is alive but disconnected, has another address.
 
     Parameters
     ----------
     ledger : Ledger
         Changed in place.
     instance, incarnation : str
-        Of this process.
+        Identify this process.
     started : ClockReading
-        The clocks when this process began.
+        The clocks when this process started.
     address : str, optional
         Where this process listens.
 
@@ -197,34 +202,34 @@
     --------
     >>> from railtide.budgets.spend_limit import NoClocks
     >>> ledger = Ledger(by_instance={"a": Holding("a1", granted=7, spent=2)})
-    >>> close_former(ledger, "a", "a2", NoClocks().read()).spent, ledger.closed, ledger.billed
+    >>> close_predecessor(ledger, "a", "a2", NoClocks().read()).spent, ledger.closed, ledger.billed
     (2, 7, 2)
     """
-    former = ledger.by_instance.get(instance)
-    if former is None or former.incarnation == incarnation:
+    predecessor = ledger.by_instance.get(instance)
+    if predecessor is None or predecessor.incarnation == incarnation:
         return None
     del ledger.by_instance[instance]
-    charged = units_charged(former, started)
+    charged = charged_units(predecessor, started)
     ledger.closed += charged
-    ledger.billed += former.spent
+    ledger.billed += predecessor.spent
     ledger.unproved.pop(instance, None)
-    is_same_machine = bool(address) and former.address == address
-    if is_same_machine and former.limit and charged == former.granted > former.spent:
-        ledger.unproved[instance] = former
-    return former
+    is_same_machine = bool(address) and predecessor.address == address
+    if is_same_machine and predecessor.limit and charged == predecessor.granted > predecessor.spent:
+        ledger.unproved[instance] = predecessor
+    return predecessor
 
 
 def return_unproved(ledger: Ledger, instance: str, used: int) -> int:
-    """Return to the budget what a dead process can't have used; return the units.
+    """Return the units that a dead process can't have used to the budget; return how many.
 
     Parameters
     ----------
     ledger : Ledger
         Changed in place.
     instance : str
-        Of the process, which is one of `Ledger.unproved`.
+        The dead process's instance, a key of `Ledger.unproved`.
     used : int
-        The most that it can have used.
+        The most units that it can have used.
 
     Examples
     --------
@@ -238,15 +243,16 @@
     return returned
 
 
-def units_charged(former: Holding, started: ClockReading) -> int:
-    """Return the units of a dead process's holding that count as spent; see `close_former`."""
-    return max(former.spent, most_used(former.limit, former.granted, started))
+def charged_units(predecessor: Holding, started: ClockReading) -> int:
+    """Return the units of a dead process's holding that count as spent; see `close_predecessor`."""
+    return max(predecessor.spent, max_used(predecessor.limit, predecessor.granted, started))
 
 
 def is_same_report(one: Holding | None, other: Holding | None) -> bool:
-    """Return whether two holdings are one report of one process.
+    """Return whether two holdings are the same report of the same process.
 
-    Others carry a report on, and an earlier release drops the fields that it does not know.
+    Other processes copy a report when they write the ledger, and those of an earlier release drop
+    fields that they do not know; such fields are not compared.
 
     Examples
     --------
@@ -261,28 +267,28 @@
 
 
 def _report_of(holding: Holding) -> tuple[str, int, int, int, ClockReading | None]:
-    made = holding.limit.made if holding.limit else None
-    return holding.incarnation, holding.granted, holding.spent, holding.requests, made
+    made_at = holding.limit.made_at if holding.limit else None
+    return holding.incarnation, holding.granted, holding.spent, holding.requests, made_at
 
 
-def account_for(ledger: Ledger, instance: str, holding: Holding) -> None:
-    """Set a process's holding; an empty one of no use is left out."""
-    if holding.granted or holding.spent or holding.need:
+def set_holding(ledger: Ledger, instance: str, holding: Holding) -> None:
+    """Set a process's holding, or remove it if it is empty."""
+    if holding.granted or holding.spent or holding.shortfall:
         ledger.by_instance[instance] = holding
     else:
         ledger.by_instance.pop(instance, None)
 
 
-def grant(ledger: Ledger, prepaid: int, wanted: int, least: int) -> int:
-    """Return how many units may be granted now: `wanted`, or down to `least`, or none.
+def grant(ledger: Ledger, prepaid: int, wanted: int, minimum: int) -> int:
+    """Return how many units can be granted now: `wanted`, fewer down to `minimum`, or 0.
 
     Examples
     --------
-    >>> grant(Ledger(closed=90), prepaid=100, wanted=20, least=5)
+    >>> grant(Ledger(closed=90), prepaid=100, wanted=20, minimum=5)
     10
-    >>> grant(Ledger(closed=99), prepaid=100, wanted=20, least=5)
+    >>> grant(Ledger(closed=99), prepaid=100, wanted=20, minimum=5)
     0
     """
     left = prepaid - committed(ledger)
     amount = min(wanted, left)
-    return amount if amount >= max(least, 1) else 0
+    return amount if amount >= max(minimum, 1) else 0
--- a/railtide/budgets/ledger_budget_source.py
+++ b/railtide/budgets/ledger_budget_source.py
@@ -1,6 +1,6 @@
-"""A treasury over ledgers in the store: reserves from grants in hand, and keeps the hands filled.
+"""A budget source over ledgers in the store: reserves from local allocations and refills them.
 
-No request waits for the store while the hand of its account covers it.
+No request waits for the store while its account's allocation covers it.
 """
 
 from collections.abc import Callable
@@ -18,7 +18,7 @@
 from railtide.budgets.errors import BudgetExhausted, BudgetUnavailable
 from railtide.budgets.ledger_partition import LedgerPartition
 from railtide.budgets.peers import NoPeers, Peers
-from railtide.budgets.process_context import Holder
+from railtide.budgets.process_context import ProcessContext
 from railtide.budgets.spend_limit import Clocks, NoClocks
 from railtide.configuration.models import AccountSettings
 from railtide.journal.keyed import KeyedStore
@@ -26,12 +26,12 @@
 
 __all__ = ["LedgerBudgetSource", "partition_of"]
 
-RETURN_TICK_S = 0.02
-"""Between two looks at whether a return is written, at a shutdown."""
+RETURN_POLL_S = 0.02
+"""Poll interval for returns to be written at shutdown."""
 
 
 def partition_of(account: str, partitions: int) -> int:
-    """Return the partition that holds an account's ledger.
+    """Return the index of the partition that holds an account's ledger.
 
     Examples
     --------
@@ -42,7 +42,7 @@
 
 
 class LedgerReservation(BudgetReservation):
-    """Units of a hand kept back for one request."""
+    """Units of an allocation reserved for one request."""
 
     def __init__(
         self, allocation: Allocation, amount: int, on_spent: Callable[[], None] = lambda: None
@@ -64,27 +64,27 @@
 
 
 class LedgerBudgetSource(BudgetSource):
-    """Hands out reservations from hands that are granted in the ledgers.
+    """Reserves from allocations that are granted in the ledgers.
 
     Parameters
     ----------
     store : KeyedStore
     instance, incarnation : str
-        Of this process.
+        Identify this process.
     routers : callable
-        Returns how many routers keep budgets in hand, 0 if this one is not to.
+        Returns how many routers preallocate budgets; 0 if this one should not.
     options : LedgerOptions
     store_reached : callable, optional
-        Returns whether other calls to the store are answered now; an account without traffic
-        makes none.
+        Returns whether other calls to the store are answered now; ledgers of accounts without
+        traffic cause no calls.
     clocks : Clocks, optional
-        By which what a process before this one can have spent is proved.
+        Prove what this process's predecessor can have spent.
     counters : Counters, optional
-        Of refusals by cause, and of units of dead processes.
+        Count refusals by cause, and units of dead processes.
     address : str, optional
-        Where this process listens already; see `close_former`.
+        Where this process is listening; see `close_predecessor`.
     peers : Peers, optional
-        The other routers; there are none unless given.
+        The other routers; none unless given.
 
     Attributes
     ----------
@@ -106,12 +106,12 @@
         peers: Peers | None = None,
     ) -> None:
         self.refusals = 0
-        self._began_at = trio.current_time()
+        self._started_at = trio.current_time()
         self._has_served = False
         self._store_reached = store_reached
         self._options = options
         clocks = clocks or NoClocks()
-        self._holder = Holder(
+        self._process = ProcessContext(
             instance,
             incarnation,
             routers,
@@ -124,39 +124,39 @@
         )
         self._rng = Random(incarnation)
         self.partitions = [
-            LedgerPartition(store, index, self._holder, self._rng)
+            LedgerPartition(store, index, self._process, self._rng)
             for index in range(options.partitions)
         ]
-        self._by_account: dict[str, AccountBudget] = {}
+        self._budget_by_account: dict[str, AccountBudget] = {}
 
     @property
     def ready(self) -> bool:
-        """True once ledgers were read.
+        """True once the ledgers of any partition were read.
 
-        One partition is enough, since the store may serve some and not others for long; accounts
-        in the others are refused until theirs is read.
+        One is enough, since the store may fail to serve some partitions for long. Accounts in the
+        others are refused until their partition is read.
         """
-        return any(part.loaded for part in self.partitions)
+        return any(partition.loaded for partition in self.partitions)
 
     @property
     def reachable(self) -> bool:
-        """True unless the store did not answer a partition's last call."""
-        return all(part.reachable for part in self.partitions)
+        """True if the store answered the latest call of every partition."""
+        return all(partition.reachable for partition in self.partitions)
 
     def enable_preallocation(self) -> None:
-        """Keep hands ahead of need from now on, since the number of routers is known."""
-        self._holder.spreading = True
-        for part in self.partitions:
-            part.ask()
+        """Preallocate from now on, as the number of routers is reliable."""
+        self._process.preallocating = True
+        for partition in self.partitions:
+            partition.request_update()
 
     def read_offsets(self) -> tuple[int, ...]:
-        """Return up to which offset each partition was read, in the store's era."""
-        return tuple(part.read_end for part in self.partitions)
+        """Return the offset up to which each partition was read, in the store's era."""
+        return tuple(partition.read_end for partition in self.partitions)
 
     def recheck_waiting(self) -> None:
-        """Have requests that wait for others to read a report look again."""
-        for part in self.partitions:
-            part.recheck_waiting()
+        """Make requests that wait until others have read a report try again."""
+        for partition in self.partitions:
+            partition.recheck_waiting()
 
     # -- reserving ----------------------------------------------------------------------------
 
@@ -166,93 +166,99 @@
         """Return a reservation; see `BudgetSource.reserve`."""
         if amount == 0:
             return LedgerReservation(Allocation(), 0)
-        known = self._account(account)
-        known.note(amount)
-        if known.try_reserve(amount):
-            known.ask_if_low()
-            return self._reserved(known, amount)
+        budget = self._account(account)
+        budget.count_request(amount)
+        if budget.try_reserve(amount):
+            budget.refill_if_low()
+            return self._reserved(budget, amount)
         now = trio.current_time()
-        part = self._partition(account)
-        waits = not self._is_away(part) and part.is_open()
+        partition = self._partition(account)
+        waits = not self._is_store_unreachable(partition) and partition.is_open()
         until = min(deadline, now + settings.budget_wait_s) if waits else now
-        if not await known.wait_for(amount, until):
-            raise self._refusal(known, amount)
-        return self._reserved(known, amount)
+        if not await budget.wait_for(amount, until):
+            raise self._refusal(budget, amount)
+        return self._reserved(budget, amount)
 
-    def _reserved(self, known: AccountBudget, amount: int) -> LedgerReservation:
-        return LedgerReservation(known.allocation, amount, partial(self._note_spent, known.account))
+    def _reserved(self, budget: AccountBudget, amount: int) -> LedgerReservation:
+        return LedgerReservation(
+            budget.allocation, amount, partial(self._note_spent, budget.account)
+        )
 
     def _note_spent(self, account: str) -> None:
-        """Say when the first request with a cost has ended: from then on budgets are in use."""
+        """Log the end of the first request that cost units: from then on budgets are in use."""
         if self._has_served:
             return
         self._has_served = True
-        since_start_s = round(trio.current_time() - self._began_at, 3)
+        since_start_s = round(trio.current_time() - self._started_at, 3)
         logger.bind(account=account, since_start_s=since_start_s).info("serving")
 
-    def _is_away(self, part: LedgerPartition) -> bool:
-        """Return whether the store would not answer a question for a grant."""
-        return part.loaded and not (part.reachable and self._store_reached())
+    def _is_store_unreachable(self, partition: LedgerPartition) -> bool:
+        """Return whether the store is unreachable, so that no grant can be obtained now."""
+        return partition.loaded and not (partition.reachable and self._store_reached())
 
-    def _refusal(self, known: AccountBudget, amount: int) -> BudgetExhausted | BudgetUnavailable:
+    def _refusal(self, budget: AccountBudget, amount: int) -> BudgetExhausted | BudgetUnavailable:
         self.refusals += 1
-        part = self._partition(known.account)
-        known.log_refusal(amount, part.reachable, part.ledger_age_ms)
-        if known.is_spent(amount):
+        partition = self._partition(budget.account)
+        budget.log_refusal(amount, partition.reachable, partition.ledger_age_ms)
+        if budget.is_exhausted(amount):
             return BudgetExhausted(
-                "the prepaid budget does not cover this request's greatest cost",
+                "the prepaid budget does not cover this request's maximum cost",
                 retry_after=self._options.exhausted_retry_after_s,
             )
         return BudgetUnavailable(
-            "no budget is in hand, and none is to be had in time",
-            retry_after=self._retry_after_s(part, known, amount),
+            "this router has too few units allocated and could not obtain more in time",
+            retry_after=self._retry_after_s(partition, budget, amount),
         )
 
-    def _retry_after_s(self, part: LedgerPartition, known: AccountBudget, amount: int) -> float:
-        if not part.is_open():
-            return max(self._options.retry_after_s, part.closed_left_s())
-        if not self._is_away(part):
+    def _retry_after_s(
+        self, partition: LedgerPartition, budget: AccountBudget, amount: int
+    ) -> float:
+        if not partition.is_open():
+            return max(self._options.retry_after_s, partition.closed_remaining_s())
+        if not self._is_store_unreachable(partition):
             return self._options.retry_after_s
-        wait_s = known.wait_s(amount)
+        wait_s = budget.wait_s(amount)
         if wait_s is not None:
             return wait_s
-        return part.outage_left_s() * (1 + self._rng.uniform(0, self._options.away_retry_spread))
+        return partition.outage_remaining_s() * (
+            1 + self._rng.uniform(0, self._options.unreachable_retry_jitter)
+        )
 
     def count_bill(self, account: str) -> None:
-        """Count a request as billed; one of an account without a budget costs nothing."""
-        known = self._by_account.get(account)
-        if known:
-            known.billed_requests += 1
+        """Count a request as billed; requests of accounts without a budget are not counted."""
+        budget = self._budget_by_account.get(account)
+        if budget:
+            budget.billed_requests += 1
 
-    # -- configuration and life ---------------------------------------------------------------
+    # -- configuration and lifecycle ----------------------------------------------------------
 
     def set_prepaid(self, prepaid_by_account: dict[str, int]) -> None:
-        """Take the budgets in force; an account that is not named has none left."""
+        """Apply the configured budgets; the budget of an account that is not named becomes 0."""
         for account, prepaid in prepaid_by_account.items():
             self._account(account).set_prepaid(prepaid)
-        for account in self._by_account.keys() - prepaid_by_account.keys():
-            self._by_account[account].set_prepaid(0)
+        for account in self._budget_by_account.keys() - prepaid_by_account.keys():
+            self._budget_by_account[account].set_prepaid(0)
 
     async def run(self) -> None:
-        """Tend the hands for ever."""
+        """Maintain the allocations until cancelled."""
         async with trio.open_nursery() as nursery:
-            for part in self.partitions:
-                nursery.start_soon(part.run)
+            for partition in self.partitions:
+                nursery.start_soon(partition.run)
 
     async def return_all(self) -> None:
-        """Return all that no request has reserved, for a graceful shutdown."""
-        self._holder.leaving = True
-        for known in self._by_account.values():
-            known.return_unreserved()
-        while any(known.is_returning for known in self._by_account.values()):
-            await trio.sleep(RETURN_TICK_S)
+        """Return all unreserved units and wait until that is written, for a graceful shutdown."""
+        self._process.leaving = True
+        for budget in self._budget_by_account.values():
+            budget.return_unreserved()
+        while any(budget.is_returning for budget in self._budget_by_account.values()):
+            await trio.sleep(RETURN_POLL_S)
 
     def _account(self, account: str) -> AccountBudget:
-        known = self._by_account.get(account)
-        if known is None:
-            known = self._partition(account).budget(account)
-            self._by_account[account] = known
-        return known
+        budget = self._budget_by_account.get(account)
+        if budget is None:
+            budget = self._partition(account).budget_for(account)
+            self._budget_by_account[account] = budget
+        return budget
 
     def _partition(self, account: str) -> LedgerPartition:
         return self.partitions[partition_of(account, len(self.partitions))]
--- a/railtide/budgets/log_budget_source.py
+++ b/railtide/budgets/log_budget_source.py
@@ -1,8 +1,8 @@
-"""The treasury of a router: reserves from what is in hand, and keeps the hand filled.
+"""A budget source over the log: reserves from local allocations and refills them by grants.
 
-All that one incarnation of the router has in hand belongs to one `Epoch`. A fence ends the
-epoch: its open requests are settled in it, nothing new is reserved from it, and when nothing is
-left to settle it is closed, which gives back all that the fence had withheld.
+All allocations of one incarnation of the router belong to one `Epoch`. A fence ends the epoch: its
+open requests are still settled in it, but nothing new is reserved from it. When nothing is left to
+settle it is closed, which frees all units that the fence had withheld.
 """
 
 import math
@@ -29,7 +29,7 @@
     Demand,
     GrantSizing,
     exposure_of,
-    low_water,
+    low_watermark,
 )
 from railtide.budgets.messages import Grant, GrantReturn
 from railtide.configuration.models import AccountSettings
@@ -39,39 +39,46 @@
 
 __all__ = ["Epoch", "LogReservation", "LogBudgetSource"]
 
-Taken = TypeVar("Taken")
+ResultT = TypeVar("ResultT")
 
 RATE_WINDOW_S = 5.0
-RETRY_GRANT_S = 0.05
+"""Averaging window of an account's rate."""
+GRANT_RETRY_INTERVAL_S = 0.05
+"""Wait after a refused grant before asking again."""
 RETRY_AFTER_S = 1.0
-TEND_S = 1.0
-IDLE_KEEP_SHARE = 2
-BUSY_S = 1.0
+"""Retry-After when no grant could be obtained."""
+MAINTENANCE_INTERVAL_S = 1.0
+"""Time between two checks for idle units and ended epochs."""
+BUSY_RETURN_DIVISOR = 2
+"""A busy account that is asked to return its idle units returns them divided by this."""
+BUSY_WINDOW_S = 1.0
+"""An account is busy for this long after a request."""
 EXHAUSTED_RETRY_AFTER_S = 5.0
+"""Retry-After when the budget is exhausted."""
 
 
 @dataclass
 class Epoch:
-    """One incarnation of the router at the log, and its hands by account."""
+    """One incarnation of the router as a writer of the log, with its allocations by account."""
 
     writer: Writer
     by_account: dict[str, Allocation] = field(default_factory=dict)
     open_reservations: int = 0
 
     def allocation(self, account: str) -> Allocation:
-        """Return the account's hand."""
+        """Return the account's allocation; created on first use."""
         return self.by_account.setdefault(account, Allocation())
 
 
 class LogReservation(BudgetReservation):
-    """Units reserved for one request, from reserve to settlement.
+    """Units of an epoch's allocation reserved for one request.
 
     Parameters
     ----------
     epoch : Epoch
     account : str
     amount : int
-        The request's greatest cost.
+        The request's maximum cost, units.
     """
 
     def __init__(self, epoch: Epoch, account: str, amount: int) -> None:
@@ -87,14 +94,14 @@
         return self.epoch.allocation(self.account)
 
     def extend(self, amount: int) -> bool:
-        """Reserve more units for another try; False if they are not in hand."""
+        """Reserve more units for another attempt; return False if too few are available."""
         if self.epoch.writer.fenced or not reserve(self._allocation, amount):
             return False
         self.amount += amount
         return True
 
     def try_expose(self, amount: int) -> bool:
-        """Claim the right to send before the log covers `amount`, if the limit allows it."""
+        """Allow dispatch before the log covers `amount`; return False beyond the exposure limit."""
         if not can_expose(self._allocation, amount):
             return False
         expose(self._allocation, amount)
@@ -102,16 +109,16 @@
         return True
 
     def cover(self, amount: int) -> None:
-        """Say that the log covers `amount` now, if it was exposed."""
+        """Record that the log now covers `amount`, as far as that was exposed."""
         covered = min(amount, self._exposed)
         unexpose(self._allocation, covered)
         self._exposed -= covered
 
     def settle(self, used: int) -> int:
-        """End the reservation at what was used; return the units spent. Only the first counts.
+        """End the reservation with the units used; see `BudgetReservation.settle`.
 
-        What is still exposed shrinks to what was used: the bill stands right after the intent in
-        this holder's sequence, so no more than that can be missing from the log.
+        The exposure shrinks to the units used: the bill directly follows the intent in this
+        holder's sequence, so no more than that can be missing from the log.
         """
         if self._settled:
             return 0
@@ -123,28 +130,28 @@
 
 @dataclass
 class _Account:
-    """What a treasury remembers of an account across epochs."""
+    """State of an account that outlives epochs."""
 
     rate: float = 0.0
     seen_at: float = 0.0
     left: int | None = None
-    asking: bool = False
+    grant_pending: bool = False
     changed: trio.Event = field(default_factory=trio.Event)
 
 
 class LogBudgetSource(BudgetSource):
-    """Hands out reservations and tends the hands.
+    """Reserves from allocations that are granted in the log.
 
     Parameters
     ----------
     open_epoch : callable
         Returns a new epoch whose writer has submitted its `Open`.
     log_reachable : callable
-        Whether entries reach the log now.
+        Returns whether entries reach the log now.
     holders : callable
-        Number of routers that callers of an account are sent to.
+        Returns the number of routers that callers of an account are sent to.
     sizing : callable, optional
-        Returns the sizing policy for an account's settings.
+        Returns the grant sizing policy for an account's settings.
     """
 
     def __init__(
@@ -167,7 +174,7 @@
         self._settings_by_account: dict[str, AccountSettings] = {}
 
     def begin(self) -> None:
-        """Open the first epoch, once the log's time is known; later calls do nothing."""
+        """Open the first epoch, once the log's time is known; later calls have no effect."""
         if self.epoch is None:
             self.epoch = self._open_epoch()
 
@@ -179,52 +186,54 @@
         """Return a reservation; see `BudgetSource.reserve`."""
         self._settings_by_account[account] = settings
         self._note_rate(account, amount)
-        taken = await self._obtain(
-            account, settings, amount, deadline, lambda: self._take(account, amount)
+        result = await self._reserve_or_wait(
+            account, settings, amount, deadline, lambda: self._try_reserve(account, amount)
         )
         self._refill(account, settings)
-        return taken
+        return result
 
     async def extend(
         self, reservation: LogReservation, settings: AccountSettings, amount: int, deadline: float
     ) -> bool:
-        """Add to a reservation, asking for a grant if need be; return whether it was done.
+        """Extend a reservation, asking for a grant if necessary; return whether that succeeded.
 
-        Only the reservation's own epoch can extend it.
+        Fails if the reservation's epoch has ended.
         """
         epoch = reservation.epoch
 
-        def take() -> bool:
+        def try_reserve() -> bool:
             return epoch is self.epoch and reservation.extend(amount)
 
         try:
-            return await self._obtain(reservation.account, settings, amount, deadline, take)
+            return await self._reserve_or_wait(
+                reservation.account, settings, amount, deadline, try_reserve
+            )
         except BudgetError:
             return False
 
-    async def _obtain(
+    async def _reserve_or_wait(
         self,
         account: str,
         settings: AccountSettings,
         amount: int,
         deadline: float,
-        take: Callable[[], Taken | None],
-    ) -> Taken:
-        """Return what `take` returns once it is true, asking for grants until then."""
+        try_reserve: Callable[[], ResultT | None],
+    ) -> ResultT:
+        """Call `try_reserve`, asking for grants in between, until its result is true; return it."""
         until = min(deadline, trio.current_time() + settings.budget_wait_s)
         exhausted = False
         while True:
-            taken = take()
-            if taken:
-                return taken
+            result = try_reserve()
+            if result:
+                return result
             now = trio.current_time()
             if now >= until or not self._log_reachable():
                 raise self._refusal(exhausted)
             need = amount - self.epoch.allocation(account).available
-            exhausted = await self._ask_until(account, settings, need, until) or exhausted
+            exhausted = await self._request_grant_until(account, settings, need, until) or exhausted
 
-    def _take(self, account: str, amount: int) -> LogReservation | None:
-        self._leave_fenced_epoch()
+    def _try_reserve(self, account: str, amount: int) -> LogReservation | None:
+        self._replace_fenced_epoch()
         if not reserve(self.epoch.allocation(account), amount):
             return None
         return LogReservation(self.epoch, account, amount)
@@ -233,103 +242,108 @@
         self.refusals += 1
         if exhausted:
             return BudgetExhausted(
-                "the prepaid budget does not cover this request's greatest cost",
+                "the prepaid budget does not cover this request's maximum cost",
                 retry_after=EXHAUSTED_RETRY_AFTER_S,
             )
         return BudgetUnavailable(
-            "no budget is in hand, and the log can't be asked in time", retry_after=RETRY_AFTER_S
+            "this router has too few units allocated and could not obtain more in time",
+            retry_after=RETRY_AFTER_S,
         )
 
-    async def _ask_until(
+    async def _request_grant_until(
         self, account: str, settings: AccountSettings, need: int, until: float
     ) -> bool:
-        """Ask for a grant, or wait for one asked for already; return whether it was refused."""
-        known = self._account(account)
-        if known.asking:
+        """Ask for a grant, or wait for a pending one; return whether it was refused."""
+        account_state = self._account(account)
+        if account_state.grant_pending:
             with trio.move_on_at(until):
-                await known.changed.wait()
-            return known.left is not None and known.left < need
-        ticket = self._ask(account, settings, need)
+                await account_state.changed.wait()
+            return account_state.left is not None and account_state.left < need
+        ticket = self._request_grant(account, settings, need)
         if ticket is None:
             with trio.move_on_at(until):
-                await trio.sleep(RETRY_GRANT_S)
+                await trio.sleep(GRANT_RETRY_INTERVAL_S)
             return True
         verdict = await ticket.wait_at_most(until - trio.current_time())
         if verdict is None or verdict.code != Code.BUDGET_EXHAUSTED:
             return False
         if verdict.available < need:
             with trio.move_on_at(until):
-                await trio.sleep(RETRY_GRANT_S)
+                await trio.sleep(GRANT_RETRY_INTERVAL_S)
         return verdict.available < need
 
-    # -- filling ------------------------------------------------------------------------------
+    # -- refilling ----------------------------------------------------------------------------
 
     def _refill(self, account: str, settings: AccountSettings) -> None:
-        """Ask ahead of need when the hand runs low."""
-        known = self._account(account)
-        level = low_water(known.rate, settings.grant_horizon_s)
-        dry = known.left is not None and known.left <= 0
-        if self.epoch.allocation(account).available < level and not known.asking and not dry:
-            self._ask(account, settings, 0)
-
-    def _ask(self, account: str, settings: AccountSettings, need: int) -> Ticket | None:
-        known = self._account(account)
-        demand = Demand(need, known.rate, known.left, self._holders(settings))
+        """Ask for a grant ahead of need when the allocation runs low."""
+        account_state = self._account(account)
+        level = low_watermark(account_state.rate, settings.grant_horizon_s)
+        is_exhausted = account_state.left is not None and account_state.left <= 0
+        if (
+            self.epoch.allocation(account).available < level
+            and not account_state.grant_pending
+            and not is_exhausted
+        ):
+            self._request_grant(account, settings, 0)
+
+    def _request_grant(self, account: str, settings: AccountSettings, need: int) -> Ticket | None:
+        account_state = self._account(account)
+        demand = Demand(need, account_state.rate, account_state.left, self._holders(settings))
         amount = self._sizing(settings).size(demand)
         if amount <= 0:
             return None
-        known.asking = True
+        account_state.grant_pending = True
         record = Grant(account, amount, exposure_of(amount, settings.exposure_percent))
         return self.epoch.writer.submit(record)
 
     def apply_grant_verdict(self, epoch: Epoch, ticket: Ticket) -> None:
-        """Learn from a grant's verdict."""
+        """Apply the verdict on a grant; other records are ignored."""
         record = ticket.record
         if not isinstance(record, Grant):
             return
-        known = self._account(record.account)
-        known.asking = False
-        known.left = ticket.verdict.available
+        account_state = self._account(record.account)
+        account_state.grant_pending = False
+        account_state.left = ticket.verdict.available
         if ticket.verdict.ok:
             self.grants += 1
             allocation = epoch.allocation(record.account)
             allocation.granted += record.amount
             allocation.exposure_limit = max(allocation.exposure_limit, record.exposure)
-        known.changed.set()
-        known.changed = trio.Event()
+        account_state.changed.set()
+        account_state.changed = trio.Event()
 
-    # -- giving back --------------------------------------------------------------------------
+    # -- returning ----------------------------------------------------------------------------
 
     def return_idle(self, account: str) -> None:
-        """Return what lies idle, because another router was refused a grant."""
+        """Return an account's idle units, as another router was refused a grant."""
         if self.epoch is None or self.epoch.writer.fenced:
             return
         allocation = self.epoch.by_account.get(account)
         settings = self._settings_by_account.get(account)
         if allocation is None or settings is None or not self._sizing(settings).returns_idle:
             return
-        busy = trio.current_time() - self._account(account).seen_at < BUSY_S
-        most = allocation.available // IDLE_KEEP_SHARE if busy else allocation.available
-        self._return(account, allocation, most)
+        busy = trio.current_time() - self._account(account).seen_at < BUSY_WINDOW_S
+        maximum = allocation.available // BUSY_RETURN_DIVISOR if busy else allocation.available
+        self._return(account, allocation, maximum)
 
     def return_all(self) -> None:
-        """Return all that is not reserved; for a graceful shutdown."""
+        """Return all unreserved units, for a graceful shutdown."""
         for account, allocation in self.epoch.by_account.items():
             self._return(account, allocation, allocation.available)
 
-    def _return(self, account: str, allocation: Allocation, most: int) -> None:
-        amount = take_back(allocation, most)
+    def _return(self, account: str, allocation: Allocation, maximum: int) -> None:
+        amount = take_back(allocation, maximum)
         if amount > 0:
             self.returns += 1
             self.epoch.writer.submit(GrantReturn(account, amount))
 
     async def run(self) -> None:
-        """Tend the hands for ever: return what traffic no longer needs, close ended epochs."""
+        """Return units that traffic no longer needs and close ended epochs, until cancelled."""
         while True:
-            await trio.sleep(TEND_S)
+            await trio.sleep(MAINTENANCE_INTERVAL_S)
             if self.epoch is None:
                 continue
-            self._leave_fenced_epoch()
+            self._replace_fenced_epoch()
             self._close_ended()
             for account, allocation in self.epoch.by_account.items():
                 self._trim(account, allocation)
@@ -347,14 +361,14 @@
 
     # -- epochs -------------------------------------------------------------------------------
 
-    def _leave_fenced_epoch(self) -> None:
+    def _replace_fenced_epoch(self) -> None:
         if not self.epoch.writer.fenced or self.epoch.writer.closed:
             return
-        logger.info("holder {} was fenced; opening a new one", self.epoch.writer.holder)
+        logger.info("holder {} was fenced; opening a new epoch", self.epoch.writer.holder)
         self.ended.append(self.epoch)
         self.epoch = self._open_epoch()
-        for known in self._by_account.values():
-            known.asking = False
+        for account_state in self._by_account.values():
+            account_state.grant_pending = False
 
     def _close_ended(self) -> None:
         for epoch in list(self.ended):
@@ -373,15 +387,15 @@
         return self._by_account.setdefault(account, _Account())
 
     def _note_rate(self, account: str, amount: int) -> None:
-        known = self._account(account)
-        known.rate = self._decayed_rate(known) + amount / RATE_WINDOW_S
-        known.seen_at = trio.current_time()
+        account_state = self._account(account)
+        account_state.rate = self._decayed_rate(account_state) + amount / RATE_WINDOW_S
+        account_state.seen_at = trio.current_time()
 
     @staticmethod
-    def _decayed_rate(known: _Account) -> float:
-        """Return the exponentially weighted rate as of now, units a second."""
-        passed = trio.current_time() - known.seen_at
-        return known.rate * math.exp(-passed / RATE_WINDOW_S)
+    def _decayed_rate(account_state: _Account) -> float:
+        """Return the exponentially weighted rate decayed to now, units a second."""
+        elapsed = trio.current_time() - account_state.seen_at
+        return account_state.rate * math.exp(-elapsed / RATE_WINDOW_S)
 
 
 def _adaptive(settings: AccountSettings) -> GrantSizing:
--- a/railtide/budgets/messages.py
+++ b/railtide/budgets/messages.py
@@ -1,4 +1,4 @@
-"""Records of the log that move budget. Amounts are whole units, never negative."""
+"""Log records that move budget. Amounts are whole units and never negative."""
 
 from typing import Annotated
 
@@ -10,7 +10,7 @@
 
 
 class TopUp(Struct, frozen=True, array_like=True, tag=10):
-    """Prepaid units added to a client account's budget; `top_up_id` makes it idempotent."""
+    """Adds prepaid units to a client account's budget; idempotent by `top_up_id`."""
 
     account: str
     amount: Amount
@@ -18,9 +18,9 @@
 
 
 class Grant(Struct, frozen=True, array_like=True, tag=11):
-    """Units moved from a budget into the writer's hand.
+    """Moves units from a budget to the writer's holding.
 
-    `exposure` is the most the holder may have dispatched without a durable intent.
+    `exposure` is the most units the holder may dispatch without a durable intent.
     """
 
     account: str
@@ -29,27 +29,27 @@
 
 
 class GrantReturn(Struct, frozen=True, array_like=True, tag=12):
-    """Unused units moved from the writer's hand back to the budget."""
+    """Moves unused units from the writer's holding back to the budget."""
 
     account: str
     amount: Amount
 
 
 class Fence(Struct, frozen=True, array_like=True, tag=13):
-    """Ends another holder's grants if it has written nothing since `seen_seq`."""
+    """Fences another holder if it has written nothing since sequence number `seen_seq`."""
 
     holder: str
     seen_seq: int
 
 
 class Release(Struct, frozen=True, array_like=True, tag=14):
-    """An operator's word that a fenced holder is dead: its withheld units go back."""
+    """An operator's confirmation that a fenced holder is dead; its withheld units are freed."""
 
     holder: str
 
 
 class Waste(Struct, frozen=True, array_like=True, tag=15):
-    """Units of the writer's hand that upstream work used and no bill covers."""
+    """Units of the writer's holding that upstream work used and no bill covers."""
 
     account: str
     amount: Amount
--- a/railtide/budgets/partition_view.py
+++ b/railtide/budgets/partition_view.py
@@ -1,4 +1,4 @@
-"""What an account's hand needs of the partition that holds its ledger."""
+"""What an account's budget needs to know of the partition that holds its ledger."""
 
 import math
 from abc import ABC, abstractmethod
@@ -9,33 +9,33 @@
 
 
 class PartitionView(ABC):
-    """A partition, as a hand of it sees it."""
+    """A ledger partition as seen by the account budgets in it."""
 
     @property
     @abstractmethod
     def era(self) -> int:
-        """The store's era, 0 for a store that tells none."""
+        """The store's era; 0 for a store without eras."""
 
     @property
     @abstractmethod
     def read_end(self) -> int:
-        """Up to which offset this process has read the partition in the store's era."""
+        """The offset up to which this process has read the partition in the store's era."""
 
     @abstractmethod
     def is_open(self) -> bool:
-        """Return whether grants, closings and returns may be made in the store's era."""
+        """Return whether holdings may be granted, closed and returned in the store's era."""
 
     @abstractmethod
     def min_read_offset(self) -> float:
-        """Return up to which offset all other routers in use have read the partition."""
+        """Return the offset up to which all other routers in use have read the partition."""
 
     @abstractmethod
-    def as_written(self, account: str, ledger: Ledger) -> Ledger:
-        """Return a ledger with a change as it is to be written."""
+    def to_write(self, account: str, ledger: Ledger) -> Ledger:
+        """Return a changed ledger in the form in which it has to be written now."""
 
 
 class StandalonePartition(PartitionView):
-    """The partition of a process that is alone, in a store without eras."""
+    """The partition of a process without peers, in a store without eras."""
 
     @property
     def era(self) -> int:
@@ -55,6 +55,6 @@
         """See `PartitionView.min_read_offset`."""
         return math.inf
 
-    def as_written(self, account: str, ledger: Ledger) -> Ledger:
-        """See `PartitionView.as_written`."""
+    def to_write(self, account: str, ledger: Ledger) -> Ledger:
+        """See `PartitionView.to_write`."""
         return ledger
--- a/railtide/budgets/peer_reports.py
+++ b/railtide/budgets/peer_reports.py
@@ -1,45 +1,45 @@
-"""What processes can have spent that died without a proof of their own, by a peer's clocks.
+"""Bounds what dead peers can have spent, by this process's own clocks.
 
-A process that follows on a machine whose clocks began anew can't tell how long its predecessor
-lived after its last report, so all that it held counts as spent. A peer that lived through it can:
-the last report was appended after an append of the peer's own, and under the condition that
-nothing came between what its writer had read and itself. So its writer had read the peer's append
-before it made the report, and the report was made after the peer sent that append. When the next
-process of the instance is seen in the ledger, the writer is dead. The peer's own clocks tell the
-seconds between the two, in which the writer's limit says how much it can have spent.
+A process that starts on a machine whose clocks restarted can't tell how long its predecessor lived
+after its last report, so the whole holding would count as spent. A surviving peer can tell: if the
+report follows one of the peer's own appends, its writer had read that append, since a report is
+appended only if nothing was appended after what its writer had read. So the report was made after
+the peer sent that append. Once the instance's next process appears in the ledger, the writer is
+dead. The peer's clocks measure the seconds between the two, and the writer's spend limit tells how
+much it can have spent within them.
 
 Notes
 -----
-The report may be written late, be repeated, or be carried on in ledgers that others write: it was
-made after the peer's append all the same. A writer that was frozen looks at its own clock for each
-request when it wakes. A peer that starts has no append of its own after it and proves nothing; nor
-does one whose clocks disagree, as when its machine was suspended or the time of day was set. A
-one-way cut only delays what the peer sees, so that its bound grows. When nobody lived, nothing is
-proved. What it rests on: a steady clock goes on while its machine runs, and one address belongs to
-one machine, whose next process could not listen there while the former lived.
+A report may be appended late, repeated, or copied into ledgers that others write: it was made after
+the peer's append all the same. A writer that was frozen reads its own clock for each request when
+it resumes. A peer that has just started has no earlier append and proves nothing; neither does one
+whose clocks disagree, because its machine was suspended or its wall clock was set. A one-way
+network failure only delays what the peer reads, which makes its bound larger. If no peer survived,
+nothing is proved. Assumptions: a steady clock continues while its machine runs, and an address
+belongs to one machine, where the next process can't listen while the previous one is alive.
 """
 
 from dataclasses import dataclass
 
 from railtide.budgets.ledger import Holding, Ledger, is_same_report
-from railtide.budgets.spend_limit import NO_CLOCK_READING, ClockReading, elapsed_s, most_used_within
+from railtide.budgets.spend_limit import NO_CLOCK_READING, ClockReading, elapsed_s, max_used_within
 
 __all__ = ["PeerReports"]
 
-RATE_MARGIN = 0.001
-"""By how much the clocks of two machines may differ in rate: each is slewed by 0.5 ms a second."""
+CLOCK_RATE_MARGIN = 0.001
+"""Maximum difference in rate of two machines' clocks: each is slewed by up to 0.5 ms a second."""
 
 
 @dataclass(frozen=True)
 class _Report:
-    """A process's last report and a moment, by this process's clocks, before it was made."""
+    """A process's last report and a time before it was made, by this process's clocks."""
 
     holding: Holding
     after: ClockReading
 
 
 class PeerReports:
-    """The last reports of other processes in one account's ledger.
+    """Tracks the last reports of other processes in one account's ledger.
 
     Examples
     --------
@@ -52,7 +52,7 @@
     >>> peers.observe(alive, ClockReading("own", 1.5, 1.5), ClockReading("own", 2.0, 2.0))
     >>> closed = Ledger(closed=100, billed=10, unproved={"b": dead})
     >>> peers.observe(closed, ClockReading("own", 3.0, 3.0), ClockReading("own", 4.5, 4.5))
-    >>> peers.used_at_most("b1")
+    >>> peers.max_used("b1")
     21
     """
 
@@ -61,21 +61,21 @@
         self._used_by_incarnation: dict[str, int] = {}
 
     def forget(self) -> None:
-        """Start anew: a ledger was not read, so that it is not known what changed in between."""
+        """Discard all observations, after ledgers were missed and changes may be unknown."""
         self._report_by_incarnation = None
         self._used_by_incarnation = {}
 
     def observe(self, ledger: Ledger, own_append: ClockReading, now: ClockReading) -> None:
-        """Take the ledger as it was read.
+        """Process a ledger that was read.
 
         Parameters
         ----------
         ledger : Ledger
         own_append : ClockReading
-            The clocks before this process sent the latest of its appends to the partition that
-            were known to be in it when the ledger was read the time before.
+            The clocks before this process sent its latest append to the partition that was known to
+            be in it at the previous read.
         now : ClockReading
-            The clocks when the ledger had been read.
+            The clocks after the ledger was read.
         """
         first = self._report_by_incarnation is None
         known = self._report_by_incarnation or {}
@@ -86,26 +86,26 @@
             for held in holdings
         }
         self._used_by_incarnation = {
-            dead.incarnation: self._used_at_most(dead, now) for dead in ledger.unproved.values()
+            dead.incarnation: self._max_used(dead, now) for dead in ledger.unproved.values()
         }
 
-    def _used_at_most(self, dead: Holding, now: ClockReading) -> int:
-        """Return what a dead process can have used; the first sight of its death counts."""
+    def _max_used(self, dead: Holding, now: ClockReading) -> int:
+        """Return the most units that a dead process can have used, as of first seeing its death."""
         known = self._used_by_incarnation.get(dead.incarnation)
         if known is not None:
             return known
         elapsed = elapsed_s(self._report_by_incarnation[dead.incarnation].after, now)
         if elapsed is not None:
-            elapsed *= 1 + RATE_MARGIN
-        return most_used_within(dead.limit, dead.granted, elapsed)
+            elapsed *= 1 + CLOCK_RATE_MARGIN
+        return max_used_within(dead.limit, dead.granted, elapsed)
 
-    def used_at_most(self, incarnation: str) -> int | None:
-        """Return the units that a dead process can have used, or None if it is not known."""
+    def max_used(self, incarnation: str) -> int | None:
+        """Return the most units that a dead process can have used; None if it is unknown."""
         return self._used_by_incarnation.get(incarnation)
 
 
 def _known_or_new(known: _Report | None, holding: Holding, after: ClockReading) -> _Report:
-    """Return what is known of a report, or the new one."""
+    """Return the known report if the holding repeats it, else a new one."""
     if known and is_same_report(known.holding, holding):
         return known
     return _Report(holding, after)
--- a/railtide/budgets/peers.py
+++ b/railtide/budgets/peers.py
@@ -1,4 +1,4 @@
-"""What a process's budgets need to know of the other routers."""
+"""What the budgets of a process need to know of the other routers."""
 
 import math
 from abc import ABC, abstractmethod
@@ -7,38 +7,44 @@
 __all__ = ["ProcessKey", "NoPeers", "Peers"]
 
 ProcessKey = tuple[str, str]
-"""A process: its instance and its incarnation."""
+"""Identifies a process: its instance and its incarnation."""
 
 
 class Peers(ABC):
-    """The other routers, as they are told by what they write of themselves."""
+    """The other routers, by the records that they publish."""
 
     @abstractmethod
     def min_read_offset(self, partition: int, reported: Mapping[ProcessKey, int]) -> float:
-        """Return up to which offset all others in use have read a partition of the ledgers.
+        """Return the offset up to which all other routers in use have read a ledger partition.
 
-        Infinite where there are none. `reported` is what the ledgers themselves tell of it.
+        Infinite if there are none.
+
+        Parameters
+        ----------
+        partition : int
+        reported : mapping of ProcessKey to int
+            Read offsets that processes reported in the ledgers themselves.
         """
 
     @abstractmethod
     def lost_routers(self, era: int, last_opened: int) -> int:
-        """Return how many may have held budgets and were not heard in an era.
+        """Return how many routers may have held budgets and have not reported in an era.
 
         Parameters
         ----------
         era : int
-            The store's.
+            The store's era.
         last_opened : int
-            The latest in which grants were made.
+            The latest era in which grants were made.
         """
 
     @abstractmethod
     def heard_from_former(self, era: int, last_opened: int) -> bool:
-        """Return whether one that was in use while grants were made lives and was heard."""
+        """Return whether a router that was in use while grants were made reported in this era."""
 
 
 class NoPeers(Peers):
-    """A process that is alone."""
+    """The peers of a process that runs alone."""
 
     def min_read_offset(self, partition: int, reported: Mapping[ProcessKey, int]) -> float:
         """See `Peers.min_read_offset`."""
--- a/railtide/budgets/process_context.py
+++ b/railtide/budgets/process_context.py
@@ -1,38 +1,39 @@
-"""What all hands of one process share."""
+"""State that all account budgets of one process share."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from railtide.budgets.account_log import LineAllowance
+from railtide.budgets.account_log import LogTokenBucket
 from railtide.budgets.allocation_sizing import LedgerOptions
 from railtide.budgets.peers import NoPeers, Peers
 from railtide.budgets.spend_limit import ClockReading, Clocks
 from railtide.telemetry.counters import Counters
 
-__all__ = ["Holder"]
+__all__ = ["ProcessContext"]
 
 
 @dataclass
-class Holder:
-    """What all hands of one process share.
+class ProcessContext:
+    """State that all account budgets of one process share.
 
     Attributes
     ----------
     instance, incarnation : str
-        Of this process.
+        Identify this process.
     routers : callable
-        Returns how many routers keep budgets in hand, 0 if this one is not to.
-    spreading : bool
-        Whether `routers` is to be relied on, so that hands are kept ahead of need.
+        Returns how many routers preallocate budgets; 0 if this one should not.
+    options : LedgerOptions
     clocks : Clocks
-        By which the process binds itself to what it spends.
-    started : ClockReading
-        What they said when the process began.
+        Measure the spend limits that the process commits to.
+    started_at : ClockReading
+        The clocks when the process started.
     counters : Counters
-    lines : LineAllowance
-        Lines on ledgers that the process may write.
+    log_bucket : LogTokenBucket
+        Limits the log lines on ledgers.
+    preallocating : bool
+        Whether `routers` is reliable, so that allocations are filled ahead of need.
     leaving : bool
-        Whether the process shuts down: hands are returned and nothing is asked for.
+        Whether the process is shutting down: allocations are returned and no grant is requested.
     address : str
         Where the process listens.
     peers : Peers
@@ -43,10 +44,10 @@
     routers: Callable[[], int]
     options: LedgerOptions
     clocks: Clocks
-    started: ClockReading
+    started_at: ClockReading
     counters: Counters = field(default_factory=Counters)
-    lines: LineAllowance = field(default_factory=LineAllowance)
-    spreading: bool = False
+    log_bucket: LogTokenBucket = field(default_factory=LogTokenBucket)
+    preallocating: bool = False
     leaving: bool = False
     address: str = ""
     peers: Peers = field(default_factory=NoPeers)
--- a/railtide/budgets/rollback.py
+++ b/railtide/budgets/rollback.py
@@ -1,10 +1,11 @@
-"""What ledgers are taken for over a store that comes back older, and how an era is opened. Pure.
-
-The records of a partition are one line in each era, since each is written by compare-and-swap. So
-of two states of one ledger the later one is known by its position, and what a router had read at a
-higher position than a copy shows is written again. Grants are made in an era only once it has been
-opened: then all that live have said what they hold, and what the others can have spent without
-anybody's having read it is held back.
+"""Recovers ledgers after a rollback of the store, and opens the store's new era. Pure.
+
+A store that is restored from an older copy starts a new era. Within one era the records of a
+partition are totally ordered, since each is written by compare-and-swap. So the later of two states
+of a ledger is known by its position, and a state that a router had read at a higher position than
+the copy contains is written again. Grants are made in an era only after it was opened: by then all
+live routers have reported their holdings, and units that lost routers may have spent without any
+survivor having read it are withheld.
 """
 
 import math
@@ -25,44 +26,45 @@
 
 __all__ = [
     "OPENINGS_KEY",
-    "Known",
+    "KnownLedger",
     "EraOpening",
-    "carried",
-    "held_back_share",
-    "later_of",
-    "least_known",
-    "opened",
+    "carry_forward",
+    "withheld_share",
+    "later_state",
+    "unwritten_ledger",
+    "open_in_era",
     "openings_from_bytes",
     "openings_to_bytes",
-    "unread_units",
-    "with_all_held_back",
+    "max_unread_units",
+    "withhold_all",
 ]
 
 OPENINGS_KEY = ":openings"
-"""Key of a partition's openings among its ledgers; no account can have this name."""
-MOST_OPENINGS = 256
-"""Eras that are remembered: a ledger that nobody used for longer is held back for these alone."""
-UNREAD_SHARE = 0.02
-"""Part of a budget that all routers in use together may spend before their grants are read by the
-others: a burst or a first request is not held for the seconds until they are."""
-LEAST_ROUTERS = 2
-"""The share is divided by no fewer routers: one that is alone is joined by another."""
+"""Key of the era openings among a partition's ledgers; not a valid account name."""
+MAX_OPENINGS = 256
+"""Number of openings that are kept; a ledger unused for more eras has units withheld only for
+these."""
+UNREAD_GRANT_SHARE = 0.02
+"""Fraction of a budget that all routers in use together may spend before others have read their
+grants, so that a burst or a first request does not wait seconds for that."""
+MIN_ROUTERS = 2
+"""Minimum number of routers that share `UNREAD_GRANT_SHARE`: a single router may get a peer."""
 
 
 @dataclass(frozen=True)
-class Known:
-    """A ledger as it was read or written, and where its record stands."""
+class KnownLedger:
+    """A ledger as it was read or written, and the offset of its record."""
 
     ledger: Ledger
     offset: int
 
     @property
     def position(self) -> tuple[int, int, int, int]:
-        """What orders the states of one ledger."""
-        base = self.ledger.base
-        if base is None:
-            return (self.ledger.opened, self.offset, 0, 0)
-        return (base.era, base.offset, base.carried_in, self.offset)
+        """Sort key that orders the states of one ledger."""
+        origin = self.ledger.origin
+        if origin is None:
+            return (self.ledger.opened_era, self.offset, 0, 0)
+        return (origin.era, origin.offset, origin.carried_in_era, self.offset)
 
 
 class EraOpening(msgspec.Struct, array_like=True, frozen=True):
@@ -72,12 +74,12 @@
     ----------
     era : int
     share : float
-        Part of each budget that is held back.
+        Fraction of each budget that is withheld.
     gone : int
-        Routers that may have held budgets before and were not heard.
+        Routers that may have held budgets before and have not reported in this era.
     is_known : bool
-        Whether anybody lived that had read what they held; if not, all that was left of each budget
-        was held back in its ledger.
+        Whether a survivor had read their holdings; if not, the whole rest of each budget was
+        withheld in its ledger.
     """
 
     era: Annotated[int, COUNT]
@@ -90,12 +92,12 @@
 
 
 def openings_to_bytes(openings: Sequence[EraOpening]) -> bytes:
-    """Return the encoding of a partition's openings, the newest of them."""
-    return msgspec.msgpack.encode(list(openings[-MOST_OPENINGS:]))
+    """Encode the newest of a partition's openings."""
+    return msgspec.msgpack.encode(list(openings[-MAX_OPENINGS:]))
 
 
 def openings_from_bytes(data: bytes) -> list[EraOpening]:
-    """Return a partition's openings; raises `msgspec.DecodeError`.
+    """Decode a partition's openings; raises `msgspec.DecodeError`.
 
     Examples
     --------
@@ -105,114 +107,116 @@
     return _openings_decoder.decode(data)
 
 
-def least_known() -> Known:
-    """Return what is known of a ledger that nobody has written."""
-    return Known(Ledger(), -1)
+def unwritten_ledger() -> KnownLedger:
+    """Return the state of a ledger that was never written."""
+    return KnownLedger(Ledger(), -1)
 
 
-def later_of(read: Known, known: Known, era: int) -> Known:
+def later_state(read: KnownLedger, known: KnownLedger, era: int) -> KnownLedger:
     """Return the later of two states of one ledger.
 
-    Holdings that were said in the store's era are newer than any state of a former one.
+    Holdings reported in the store's current era are newer than any state of an earlier era.
 
     Parameters
     ----------
-    read : Known
-        As the store shows it now.
-    known : Known
-        The latest state that was known before.
+    read : KnownLedger
+        The state that the store has now.
+    known : KnownLedger
+        The latest state known before.
     era : int
-        The store's.
+        The store's era.
 
     Examples
     --------
     >>> from railtide.budgets.ledger import Holding
-    >>> copy = Known(Ledger(closed=1, by_instance={"a": Holding("a1", 5, era=2)}), 10)
-    >>> before = Known(Ledger(closed=3, by_instance={"a": Holding("a1", 4)}), 17)
-    >>> later = later_of(copy, before, era=2)
+    >>> copy = KnownLedger(Ledger(closed=1, by_instance={"a": Holding("a1", 5, era=2)}), 10)
+    >>> before = KnownLedger(Ledger(closed=3, by_instance={"a": Holding("a1", 4)}), 17)
+    >>> later = later_state(copy, before, era=2)
     >>> later.ledger.closed, later.ledger.by_instance["a"].granted, later.offset
     (3, 5, 17)
     """
     if read.position >= known.position:
         return read
-    ledger = _copy_of(known.ledger)
-    said = {name: held for name, held in read.ledger.by_instance.items() if held.era == era}
-    if ledger.opened != era:
-        ledger.by_instance |= said
-    return Known(ledger, known.offset)
+    ledger = _copy(known.ledger)
+    reported = {name: held for name, held in read.ledger.by_instance.items() if held.era == era}
+    if ledger.opened_era != era:
+        ledger.by_instance |= reported
+    return KnownLedger(ledger, known.offset)
 
 
-def carried(known: Known, era: int) -> Ledger:
-    """Return a ledger to be written again in an era that is not open."""
-    ledger = _copy_of(known.ledger)
+def carry_forward(known: KnownLedger, era: int) -> Ledger:
+    """Return a ledger as it has to be written again in an era that is not open."""
+    ledger = _copy(known.ledger)
     at_era, at_offset, _, _ = known.position
-    ledger.base = LedgerOrigin(at_era, max(0, at_offset), era)
+    ledger.origin = LedgerOrigin(at_era, max(0, at_offset), era)
     return ledger
 
 
-def opened(ledger: Ledger, openings: Sequence[EraOpening], prepaid: int | None, era: int) -> Ledger:
-    """Return a ledger as it is in an era that is open, with what its openings hold back.
+def open_in_era(
+    ledger: Ledger, openings: Sequence[EraOpening], prepaid: int | None, era: int
+) -> Ledger:
+    """Return a ledger as it is in an open era, with the units that the openings withhold.
 
     Examples
     --------
     >>> openings = [EraOpening(1, 0.5), EraOpening(2, 0.01)]
-    >>> ledger = opened(Ledger(closed=10, opened=1), openings, 1000, 2)
-    >>> ledger.closed, ledger.opened
+    >>> ledger = open_in_era(Ledger(closed=10, opened_era=1), openings, 1000, 2)
+    >>> ledger.closed, ledger.opened_era
     (20, 2)
     """
-    if ledger.opened == era and ledger.base is None:
+    if ledger.opened_era == era and ledger.origin is None:
         return ledger
-    ledger = _copy_of(ledger)
-    missed = [opening.share for opening in openings if opening.era > ledger.opened]
-    ledger.closed += sum(math.ceil(share * (prepaid or 0)) for share in missed)
-    ledger.opened = era
-    ledger.base = None
+    ledger = _copy(ledger)
+    shares = [opening.share for opening in openings if opening.era > ledger.opened_era]
+    ledger.closed += sum(math.ceil(share * (prepaid or 0)) for share in shares)
+    ledger.opened_era = era
+    ledger.origin = None
     return ledger
 
 
-def with_all_held_back(ledger: Ledger, prepaid: int, era: int) -> Ledger:
-    """Return a ledger as it is opened where nobody lives that knows what was spent.
+def withhold_all(ledger: Ledger, prepaid: int, era: int) -> Ledger:
+    """Return a ledger opened with its whole rest withheld, as no survivor knows what was spent.
 
     Examples
     --------
-    >>> ledger = with_all_held_back(Ledger(closed=10), prepaid=1000, era=2)
-    >>> committed(ledger), ledger.opened
+    >>> ledger = withhold_all(Ledger(closed=10), prepaid=1000, era=2)
+    >>> committed(ledger), ledger.opened_era
     (1000, 2)
     """
-    ledger = _copy_of(ledger)
+    ledger = _copy(ledger)
     ledger.closed += max(0, prepaid - committed(ledger))
-    ledger.opened = era
-    ledger.base = None
+    ledger.opened_era = era
+    ledger.origin = None
     return ledger
 
 
-def unread_units(prepaid: int, routers: int) -> int:
-    """Return the units that one of the routers in use may spend before they are read.
+def max_unread_units(prepaid: int, routers: int) -> int:
+    """Return the units that a router may spend before others have read its grant.
 
-    Another router, which callers are not sent to (`routers` 0), may spend none.
+    A router that callers are not sent to (`routers` 0) may spend none.
 
     Examples
     --------
-    >>> unread_units(100_000, routers=4), unread_units(100_000, routers=0)
+    >>> max_unread_units(100_000, routers=4), max_unread_units(100_000, routers=0)
     (500, 0)
     """
     if not routers:
         return 0
-    return int(prepaid * UNREAD_SHARE / max(LEAST_ROUTERS, routers))
+    return int(prepaid * UNREAD_GRANT_SHARE / max(MIN_ROUTERS, routers))
 
 
-def held_back_share(gone: int, routers: int) -> float:
-    """Return the part of each budget that is held back for routers that are gone.
+def withheld_share(lost: int, routers: int) -> float:
+    """Return the fraction of each budget that is withheld for lost routers.
 
-    Each of them knew of other routers in use, of half as many at the least.
+    Each of them is assumed to have known at least half as many routers in use as there are now.
 
     Examples
     --------
-    >>> held_back_share(gone=1, routers=3), held_back_share(gone=0, routers=3)
+    >>> withheld_share(lost=1, routers=3), withheld_share(lost=0, routers=3)
     (0.01, 0.0)
     """
-    return min(1.0, gone * UNREAD_SHARE / max(LEAST_ROUTERS, routers // 2))
+    return min(1.0, lost * UNREAD_GRANT_SHARE / max(MIN_ROUTERS, routers // 2))
 
 
-def _copy_of(ledger: Ledger) -> Ledger:
+def _copy(ledger: Ledger) -> Ledger:
     return ledger_from_bytes(ledger_to_bytes(ledger))
--- a/railtide/budgets/shortfall_tracker.py
+++ b/railtide/budgets/shortfall_tracker.py
@@ -1,4 +1,4 @@
-"""What callers of an account lack at one router, and what other routers lack. No I/O."""
+"""Tracks the units of one account that callers lack at this router and at others. No I/O."""
 
 from collections.abc import Mapping
 
@@ -6,23 +6,23 @@
     OwnShortfalls,
     PeerShortfalls,
     Shortfall,
-    first_needs,
     forget_refused,
     note_refused,
-    note_seen,
+    prior_shortfalls,
     units_refused,
+    update_seen,
 )
 
 __all__ = ["ShortfallTracker"]
 
 
 class ShortfallTracker:
-    """The needs of one account as one process knows them.
+    """The shortfalls of one account that one process knows of.
 
     Parameters
     ----------
     incarnation : str
-        Of this process.
+        The incarnation of this process.
 
     Attributes
     ----------
@@ -38,41 +38,41 @@
         self._count = 0
 
     def note_refused(self, amount: int, until: float) -> None:
-        """Count a request whose caller was told to come back."""
+        """Record a refused request whose caller was told to retry."""
         note_refused(self._own, amount, until)
 
     def forget_refused(self, amount: int) -> None:
-        """Drop a refused request of this size, since one was served."""
+        """Forget a refused request of this size, as one was served."""
         forget_refused(self._own, amount)
 
-    def note_seen(self, need_by_incarnation: Mapping[str, Shortfall], now: float) -> None:
-        """Take the needs of other processes as they were read now."""
-        note_seen(self._seen, need_by_incarnation, now)
+    def update_seen(self, shortfall_by_incarnation: Mapping[str, Shortfall], now: float) -> None:
+        """Update the shortfalls of other processes, as read from the ledger now."""
+        update_seen(self._seen, shortfall_by_incarnation, now)
 
-    def callers(self, now: float) -> list[int]:
-        """Return the units of each request that waits, or whose caller is to come back."""
+    def pending_amounts(self, now: float) -> list[int]:
+        """Return the units of each request that waits or whose caller is expected to retry."""
         return self.waiting + units_refused(self._own, now)
 
-    def missing(self, available: int) -> int:
-        """Return the units that the waiting requests lack together."""
+    def waiting_shortfall(self, available: int) -> int:
+        """Return the units that the waiting requests lack in total."""
         return max(0, sum(self.waiting) - available)
 
-    def lacking(self, available: int, now: float) -> int:
-        """Return the units that all these requests lack together."""
-        return max(0, sum(self.callers(now)) - available)
+    def total_shortfall(self, available: int, now: float) -> int:
+        """Return the units that waiting requests and expected retries lack in total."""
+        return max(0, sum(self.pending_amounts(now)) - available)
 
-    def kept_for_callers(self, now: float) -> int:
-        """Return the units in no hand that refused callers come back for, here or elsewhere."""
-        return sum(units_refused(self._own, now)) + first_needs(self._seen, now)
+    def held_for_callers(self, now: float) -> int:
+        """Return the ungranted units to leave for refused callers' retries, here or elsewhere."""
+        return sum(units_refused(self._own, now)) + prior_shortfalls(self._seen, now)
 
-    def of_others(self, lacking: int, now: float) -> int:
-        """Return what others lack whose turn is before this process's own lack."""
-        own = (lacking, self._incarnation) if lacking else None
-        return first_needs(self._seen, now, own)
+    def shortfall_of_others(self, shortfall: int, now: float) -> int:
+        """Return the units that other processes lack that take priority over this process."""
+        own = (shortfall, self._incarnation) if shortfall else None
+        return prior_shortfalls(self._seen, now, own)
 
-    def next_need(self, lacking: int) -> Shortfall | None:
-        """Return the need of the next report."""
-        if not lacking:
+    def next_shortfall(self, shortfall: int) -> Shortfall | None:
+        """Return the shortfall for the next report, with a new count."""
+        if not shortfall:
             return None
         self._count += 1
-        return Shortfall(lacking, self._count)
+        return Shortfall(shortfall, self._count)
--- a/railtide/budgets/shortfalls.py
+++ b/railtide/budgets/shortfalls.py
@@ -1,12 +1,12 @@
-"""What a process lacks of a budget, told in the ledger, and what others return for it. Pure.
+"""Shortfalls: units of a budget that a process lacks and that others return for it. Pure.
 
-A request whose greatest cost is neither in hand nor left in the ledger is refused, though units may
-lie idle in other routers' hands. The router that refused it writes what it lacks into its holding.
-Whoever reads that returns what its own traffic of the next moments leaves, and no refill ahead of
-need takes it, so the units are in the ledger when the caller comes back, at whichever router.
+A request whose maximum cost is neither allocated here nor left in the ledger is refused, though
+units may be idle at other routers. The router that refused it reports the shortfall in its holding.
+Routers that read it return the units that their own near-term traffic does not need, and no refill
+ahead of need takes these, so they are in the ledger when the caller retries at any router.
 
-Units that requests under way have reserved are never returned, and a need lets nobody spend: what
-is returned leaves the hand before it is written, and only a grant in the ledger brings it back.
+Units reserved by open requests are never returned, and a shortfall permits no spending: returned
+units leave the allocation before the return is written, and only a grant brings them back.
 """
 
 from collections.abc import Iterable, Mapping
@@ -18,47 +18,47 @@
     "Shortfall",
     "PeerShortfalls",
     "OwnShortfalls",
-    "first_needs",
+    "prior_shortfalls",
     "forget_refused",
     "is_renewal_due",
     "note_refused",
-    "note_seen",
-    "soon_units",
+    "update_seen",
+    "near_term_units",
     "spare_units",
     "units_for_callers",
     "units_refused",
     "units_to_return",
 ]
 
-RENEW_S = 0.5
-"""Between two reports of a need, seconds: as often as a hand with traffic reports anyway."""
+RENEWAL_INTERVAL_S = 0.5
+"""Seconds between two reports of a shortfall; an allocation with traffic reports as often."""
 
-SILENT_S = 1.5
-"""A need that was not renewed for so long, seconds, no longer counts: three renewals. So one of a
-dead process holds up refills for no longer, and no clocks are compared."""
+SHORTFALL_TTL_S = 1.5
+"""Seconds after which a shortfall that was not renewed is ignored: three renewals. Bounds how long
+one of a dead process delays refills, without comparing clocks of machines."""
 
-SOON_S = 1.0
-"""Seconds of its own traffic that a router keeps from what others lack: about as long as units take
-to come back to it if it gave too much."""
+NEAR_TERM_S = 1.0
+"""Seconds of its own traffic that a router keeps when others lack units: about the time to get
+units back if it returned too many."""
 
-IDLE_GAPS = 3.0
-"""An account that sent nothing for so many of its usual pauses is taken to be idle: of requests at
-random one pause in twenty is as long."""
+IDLE_GAP_FACTOR = 3.0
+"""An account counts as idle after this many mean gaps without a request: with random arrivals one
+gap in twenty is as long."""
 
-GROWN = 2.0
-"""A need that grew by so much is told at once, other growth at the next report, since each refusal
-would cost a write."""
+GROWTH_FACTOR = 2.0
+"""A shortfall that grew by this factor is reported at once, any other growth at the next renewal;
+otherwise each refusal would cost a write."""
 
 
 class Shortfall(msgspec.Struct, array_like=True, frozen=True):
-    """What a process lacks.
+    """The units that a process lacks.
 
     Attributes
     ----------
     units : int
-        Beyond what it has in hand.
+        Units beyond its allocation.
     count : int
-        Raised with each report, so that one of a process that is gone can be told.
+        Raised with each report; an unchanged count shows that the process has stopped renewing.
     """
 
     units: int
@@ -67,12 +67,12 @@
 
 @dataclass
 class OwnShortfalls:
-    """The requests that this process refused for want of units and whose callers come back.
+    """The refused requests of this process whose callers are expected to retry.
 
     Attributes
     ----------
     refused : list of tuple of (float, int)
-        Until when a caller is waited for, and the units of its request.
+        Until when a retry is expected, and the units of the request.
     """
 
     refused: list[tuple[float, int]] = field(default_factory=list)
@@ -80,19 +80,19 @@
 
 @dataclass
 class PeerShortfalls:
-    """The needs of other processes, as far as they are renewed.
+    """The shortfalls reported by other processes.
 
     Attributes
     ----------
     by_incarnation : dict of str to tuple of (Shortfall, float)
-        Each need and when it was first read with its count, by the reader's clock.
+        Each shortfall, and when it was first read with its count, by the reader's clock.
     """
 
     by_incarnation: dict[str, tuple[Shortfall, float]] = field(default_factory=dict)
 
 
 def note_refused(own: OwnShortfalls, amount: int, until: float) -> None:
-    """Count a request whose caller was told to come back; a repeat of the same size counts once.
+    """Record a refused request whose caller was told to retry; one per size is kept.
 
     Examples
     --------
@@ -107,7 +107,7 @@
 
 
 def forget_refused(own: OwnShortfalls, amount: int) -> None:
-    """Drop a refused request of this size, since one was served; there may be none."""
+    """Forget a refused request of this size, if there is one, as one was served."""
     for entry in own.refused:
         if entry[1] == amount:
             own.refused.remove(entry)
@@ -115,7 +115,7 @@
 
 
 def units_refused(own: OwnShortfalls, now: float) -> list[int]:
-    """Return the units of each refused request whose caller is waited for.
+    """Return the units of each refused request whose retry is still expected.
 
     Examples
     --------
@@ -126,28 +126,30 @@
     return [amount for _, amount in own.refused]
 
 
-def note_seen(
-    seen: PeerShortfalls, need_by_incarnation: Mapping[str, Shortfall], now: float
+def update_seen(
+    seen: PeerShortfalls, shortfall_by_incarnation: Mapping[str, Shortfall], now: float
 ) -> None:
-    """Take the needs of others as they were read now."""
+    """Update the shortfalls of other processes, as read from the ledger now."""
     known = seen.by_incarnation
     seen.by_incarnation = {
-        incarnation: known[incarnation] if _is_known(known, incarnation, need) else (need, now)
-        for incarnation, need in need_by_incarnation.items()
+        incarnation: (
+            known[incarnation] if _is_known(known, incarnation, shortfall) else (shortfall, now)
+        )
+        for incarnation, shortfall in shortfall_by_incarnation.items()
     }
 
 
 def _is_known(
-    known: Mapping[str, tuple[Shortfall, float]], incarnation: str, need: Shortfall
+    known: Mapping[str, tuple[Shortfall, float]], incarnation: str, shortfall: Shortfall
 ) -> bool:
-    return incarnation in known and known[incarnation][0].count == need.count
+    return incarnation in known and known[incarnation][0].count == shortfall.count
 
 
-def first_needs(seen: PeerShortfalls, now: float, own: tuple[int, str] | None = None) -> int:
-    """Return the units that others lack whose turn is before this process's own need.
+def prior_shortfalls(seen: PeerShortfalls, now: float, own: tuple[int, str] | None = None) -> int:
+    """Return the units that other processes lack with priority over this process.
 
-    Who lacks least goes first, as it is the likeliest to be served; between equals the incarnation
-    decides, so that all processes choose alike and no two wait for each other.
+    The smallest shortfall has priority, as it is the likeliest to be covered; ties are broken by
+    incarnation. So all processes decide alike and no two wait for each other.
 
     Parameters
     ----------
@@ -159,21 +161,21 @@
     Examples
     --------
     >>> seen = PeerShortfalls({"b": (Shortfall(50, count=1), 0.0)})
-    >>> first_needs(seen, now=1.0), first_needs(seen, now=1.0, own=(40, "a"))
+    >>> prior_shortfalls(seen, now=1.0), prior_shortfalls(seen, now=1.0, own=(40, "a"))
     (50, 0)
-    >>> first_needs(seen, now=2.0)
+    >>> prior_shortfalls(seen, now=2.0)
     0
     """
     total = 0
-    for incarnation, (need, since) in seen.by_incarnation.items():
-        is_first = own is None or (need.units, incarnation) < own
-        if is_first and now - since <= SILENT_S:
-            total += need.units
+    for incarnation, (shortfall, since) in seen.by_incarnation.items():
+        is_first = own is None or (shortfall.units, incarnation) < own
+        if is_first and now - since <= SHORTFALL_TTL_S:
+            total += shortfall.units
     return total
 
 
 def units_for_callers(available: int, amounts: Iterable[int]) -> int:
-    """Return the units in hand that a process's own waiting callers can use, small ones first.
+    """Return the available units that local waiting requests can use, smallest first.
 
     Examples
     --------
@@ -188,70 +190,72 @@
     return used
 
 
-def soon_units(rate: float, typical: float, silent_s: float) -> int:
-    """Return the units that a process's own traffic of the next moments is likely to need.
+def near_term_units(rate: float, typical: float, idle_s: float) -> int:
+    """Return the units that local traffic is likely to need in the near term.
 
     Parameters
     ----------
     rate : float
-        Units a second as of the last request.
+        Rate as of the latest request, units a second.
     typical : float
-        Units of a usual request.
-    silent_s : float
-        Seconds since that request.
+        Average request size, units.
+    idle_s : float
+        Seconds since the latest request.
 
     Examples
     --------
-    >>> soon_units(rate=30.0, typical=10.0, silent_s=0.5)
+    >>> near_term_units(rate=30.0, typical=10.0, idle_s=0.5)
     30
-    >>> soon_units(rate=30.0, typical=10.0, silent_s=2.0)
+    >>> near_term_units(rate=30.0, typical=10.0, idle_s=2.0)
     0
     """
-    is_idle = silent_s * rate > IDLE_GAPS * typical
-    return 0 if is_idle else round(rate * SOON_S)
+    is_idle = idle_s * rate > IDLE_GAP_FACTOR * typical
+    return 0 if is_idle else round(rate * NEAR_TERM_S)
 
 
-def spare_units(available: int, typical: float, soon: int, for_callers: int) -> int:
-    """Return the units in hand beyond those for waiting callers and the traffic of next moments.
+def spare_units(available: int, typical: float, near_term: int, for_callers: int) -> int:
+    """Return the available units that neither waiting callers nor near-term traffic need.
 
-    What does not cover a usual request is of no use to that traffic.
+    An allocation smaller than a typical request is of no use to that traffic.
 
     Examples
     --------
-    >>> spare_units(100, typical=10.0, soon=30, for_callers=0)
+    >>> spare_units(100, typical=10.0, near_term=30, for_callers=0)
     70
-    >>> spare_units(100, typical=10.0, soon=30, for_callers=90)
+    >>> spare_units(100, typical=10.0, near_term=30, for_callers=90)
     10
-    >>> spare_units(100, typical=200.0, soon=30, for_callers=0)
+    >>> spare_units(100, typical=200.0, near_term=30, for_callers=0)
     100
     """
-    kept = soon if available >= typical else 0
+    kept = near_term if available >= typical else 0
     return max(0, available - max(kept, for_callers))
 
 
-def units_to_return(lacking: int, ungranted: int, spare: int) -> int:
-    """Return the units to give back: what others lack beyond what nobody holds.
+def units_to_return(shortfall: int, ungranted: int, spare: int) -> int:
+    """Return the units to return: what others lack beyond what is left to be granted.
 
-    Each return lowers that for the next, since ledgers are changed one after another.
+    Ledgers are changed one after another, so each return lowers what the next has to return.
 
     Examples
     --------
-    >>> units_to_return(lacking=80, ungranted=30, spare=100)
+    >>> units_to_return(shortfall=80, ungranted=30, spare=100)
     50
     """
-    return max(0, min(spare, lacking - max(0, ungranted)))
+    return max(0, min(spare, shortfall - max(0, ungranted)))
 
 
-def is_renewal_due(written: Shortfall | None, lacking: int, age_s: float) -> bool:
-    """Return whether others should be told now of the units that are lacking here.
+def is_renewal_due(written: Shortfall | None, shortfall: int, age_s: float) -> bool:
+    """Return whether the local shortfall should be reported now.
 
     Examples
     --------
-    >>> is_renewal_due(Shortfall(30, count=1), lacking=40, age_s=0.2)
+    >>> is_renewal_due(Shortfall(30, count=1), shortfall=40, age_s=0.2)
     False
-    >>> is_renewal_due(Shortfall(30, count=1), lacking=60, age_s=0.2)
+    >>> is_renewal_due(Shortfall(30, count=1), shortfall=60, age_s=0.2)
     True
     """
-    if not lacking:
+    if not shortfall:
         return False
-    return written is None or age_s >= RENEW_S or lacking >= GROWN * written.units
+    return (
+        written is None or age_s >= RENEWAL_INTERVAL_S or shortfall >= GROWTH_FACTOR * written.units
+    )
--- a/railtide/budgets/spend_limit.py
+++ b/railtide/budgets/spend_limit.py
@@ -1,21 +1,20 @@
-"""How much a process can have spent by the time it died, proved by clocks that outlive it. Pure.
+"""Spend limits: bound what a process can have spent when it died, by shared clocks. Pure.
 
-With each report to the ledger a process binds itself: of its grant it will have used no more than
-a burst and a pace since then, whether the store is reached or not. The process that follows on the
-same machine reads the same clocks at its own start, when its predecessor was dead; the units beyond
-that line were never spent and go back to the budget. Of a router that serves 100 units a second and
-is back a second after a kill, over 700 units are written off without this and at most 400 with it
-(`test_ledger_budget_source.py`).
+With each report to the ledger a process commits to a limit: from then on it uses no more of its
+grant than a burst plus a pace over time, whether it reaches the store or not. Its successor on the
+same machine reads the same clocks at its own start, when the predecessor was dead; units beyond the
+limit at that time were never spent and go back to the budget. For a router that serves 100 units a
+second and is back one second after a kill, over 700 units are written off without limits and at
+most 400 with them (`test_ledger_budget_source.py`).
 
 Notes
 -----
-The proof rests on the kernel's clock since boot, which goes on over the end of a process and over a
-suspension, and on the id that the kernel gives each boot. Where the id survives a loss of power,
-that clock begins anew, so the time of day must have gone on by as much: both must say how long ago
-the report was made, and one that was set alone proves nothing. Without a proof the whole grant
-counts as spent. A frozen process wakes up to the time that has passed, since it looks at the clock
-for each request. A report that lands late says what held when it was made, and still holds: while
-two reports are under way the process keeps to both.
+The proof relies on the kernel's clock since boot, which continues across the end of a process and
+across suspensions, and on the kernel's boot id. The id may survive a power loss although the clock
+restarts, so the wall clock must have advanced by the same time: a proof needs both to agree, and a
+wall clock that was set proves nothing. Without a proof the whole grant counts as spent. A process
+that was frozen stays within its limit because it reads the clock for each request. A report that is
+appended late is still valid: while two reports are in flight the process obeys both.
 """
 
 import math
@@ -31,19 +30,19 @@
     "ClockReading",
     "SpendLimit",
     "elapsed_s",
-    "most_used",
-    "most_used_within",
-    "units_at",
+    "max_used",
+    "max_used_within",
+    "allowed_units",
     "wait_s",
 ]
 
-MOST_S = 1e15
-"""Seconds that no clock tells. A record with more, or with no number, is none of a router's."""
+MAX_CLOCK_S = 1e15
+"""Upper bound of a valid clock value, seconds. No router writes a larger one, or none at all."""
 COUNT = msgspec.Meta(ge=0)
-FINITE = msgspec.Meta(ge=-MOST_S, le=MOST_S)
-AGREE_S = 0.05
-"""By how much two clocks may tell a time of seconds apart. The time of day is slewed by 0.5 ms a
-second at most; when it is set, it is by more."""
+FINITE = msgspec.Meta(ge=-MAX_CLOCK_S, le=MAX_CLOCK_S)
+MAX_CLOCK_SKEW_S = 0.05
+"""Maximum difference of the seconds elapsed by two clocks. The wall clock is slewed by at most
+0.5 ms a second; setting it changes it by more."""
 
 
 class ClockReading(msgspec.Struct, array_like=True, frozen=True):
@@ -52,11 +51,11 @@
     Attributes
     ----------
     boot : str
-        Id of the boot that the steady clock counts from; empty if it is not known.
+        Id of the boot from which the steady clock counts; empty if unknown.
     steady_s : float
-        The clock since boot, seconds; suspensions count in it.
+        Seconds since boot, including suspensions.
     wall_s : float
-        The time of day, seconds since the epoch.
+        Wall-clock time, seconds since the epoch.
     """
 
     boot: str
@@ -73,11 +72,11 @@
 
     @abstractmethod
     def read(self) -> ClockReading:
-        """Return what they say now."""
+        """Return the current reading."""
 
 
 class NoClocks(Clocks):
-    """Clocks that prove nothing."""
+    """Clocks whose readings prove nothing."""
 
     def read(self) -> ClockReading:
         """Return a reading without a boot."""
@@ -85,39 +84,39 @@
 
 
 class SpendLimit(msgspec.Struct, array_like=True, frozen=True):
-    """What a process binds itself to.
+    """The limit on its spending that a process commits to with a report.
 
     Attributes
     ----------
-    made : ClockReading
-        When the limit was made.
+    made_at : ClockReading
+        The clocks when the limit was made.
     used : int
-        Units spent or reserved then.
+        Units spent or reserved at that time.
     burst : int
         Units that may be used at once beyond `used`.
     pace : int
-        Units a second that may be used beyond that.
+        Units a second that may be used beyond `used` and `burst`.
     pace_after_s : float
-        Seconds after the limit was made from which the pace counts.
+        Seconds after `made_at` from which the pace counts.
     """
 
-    made: ClockReading
+    made_at: ClockReading
     used: Annotated[int, COUNT]
     burst: Annotated[int, COUNT]
     pace: Annotated[int, COUNT]
-    pace_after_s: Annotated[float, msgspec.Meta(ge=0, le=MOST_S)] = 0.0
+    pace_after_s: Annotated[float, msgspec.Meta(ge=0, le=MAX_CLOCK_S)] = 0.0
 
 
-def units_at(limit: SpendLimit, elapsed: float) -> int:
-    """Return the units that may have been used so many seconds after the limit was made.
+def allowed_units(limit: SpendLimit, elapsed: float) -> int:
+    """Return the units that may have been used `elapsed` seconds after the limit was made.
 
     Examples
     --------
     >>> limit = SpendLimit(ClockReading("boot", 10.0, 0.0), used=100, burst=50, pace=20)
-    >>> units_at(limit, 2.5)
+    >>> allowed_units(limit, 2.5)
     200
-    >>> later = SpendLimit(limit.made, used=100, burst=50, pace=20, pace_after_s=0.5)
-    >>> units_at(later, 2.5), units_at(later, 0.3)
+    >>> later = SpendLimit(limit.made_at, used=100, burst=50, pace=20, pace_after_s=0.5)
+    >>> allowed_units(later, 2.5), allowed_units(later, 0.3)
     (190, 150)
     """
     paced_s = max(0.0, elapsed - limit.pace_after_s)
@@ -125,12 +124,20 @@
 
 
 def wait_s(limit: SpendLimit, units: int, elapsed: float) -> float:
-    """Return how long from now on a limit stays below an amount that is used in all, seconds.
+    """Return the wait until a limit allows a total of `units`, seconds; infinite if it never does.
+
+    Parameters
+    ----------
+    limit : SpendLimit
+    units : int
+        Units used in total.
+    elapsed : float
+        Seconds since the limit was made.
 
     Examples
     --------
-    >>> made = ClockReading("boot", 10.0, 0.0)
-    >>> limit = SpendLimit(made, 100, burst=50, pace=20, pace_after_s=0.5)
+    >>> made_at = ClockReading("boot", 10.0, 0.0)
+    >>> limit = SpendLimit(made_at, 100, burst=50, pace=20, pace_after_s=0.5)
     >>> wait_s(limit, 170, elapsed=0.25), wait_s(limit, 170, elapsed=2.0), wait_s(limit, 140, 0.0)
     (1.25, 0.0, 0.0)
     """
@@ -143,49 +150,62 @@
 
 
 def elapsed_s(since: ClockReading, until: ClockReading) -> float | None:
-    """Return the seconds between two readings, or None if they don't prove them.
+    """Return the seconds between two readings, or None if the clocks don't prove them.
 
     Examples
     --------
-    >>> made = ClockReading("boot", 10.0, 1000.0)
-    >>> elapsed_s(made, ClockReading("boot", 12.5, 1002.5))
+    >>> made_at = ClockReading("boot", 10.0, 1000.0)
+    >>> elapsed_s(made_at, ClockReading("boot", 12.5, 1002.5))
     2.5
-    >>> elapsed_s(made, ClockReading("another boot", 12.5, 1002.5))
-    >>> elapsed_s(made, ClockReading("boot", 12.5, 1009.0))
-    >>> elapsed_s(made, ClockReading("boot", 9.0, 999.0))
+    >>> elapsed_s(made_at, ClockReading("another boot", 12.5, 1002.5))
+    >>> elapsed_s(made_at, ClockReading("boot", 12.5, 1009.0))
+    >>> elapsed_s(made_at, ClockReading("boot", 9.0, 999.0))
     """
     steady = until.steady_s - since.steady_s
     day = until.wall_s - since.wall_s
-    if not since.boot or since.boot != until.boot or steady < 0 or abs(steady - day) > AGREE_S:
+    if (
+        not since.boot
+        or since.boot != until.boot
+        or steady < 0
+        or abs(steady - day) > MAX_CLOCK_SKEW_S
+    ):
         return None
     return steady
 
 
-def most_used(limit: SpendLimit | None, granted: int, dead: ClockReading) -> int:
-    """Return the units of a grant that a process can have used until it was dead.
+def max_used(limit: SpendLimit | None, granted: int, dead: ClockReading) -> int:
+    """Return the most units of a grant that a process can have used before it died.
+
+    Parameters
+    ----------
+    limit : SpendLimit or None
+        Of the process's last report.
+    granted : int
+    dead : ClockReading
+        The clocks at a time when the process was dead.
 
     Examples
     --------
     >>> limit = SpendLimit(ClockReading("boot", 10.0, 1000.0), used=100, burst=50, pace=20)
-    >>> most_used(limit, 1000, ClockReading("boot", 12.5, 1002.5))
+    >>> max_used(limit, 1000, ClockReading("boot", 12.5, 1002.5))
     200
-    >>> most_used(limit, 1000, ClockReading("another boot", 12.5, 1002.5))
+    >>> max_used(limit, 1000, ClockReading("another boot", 12.5, 1002.5))
     1000
     """
-    return most_used_within(limit, granted, elapsed_s(limit.made, dead) if limit else None)
+    return max_used_within(limit, granted, elapsed_s(limit.made_at, dead) if limit else None)
 
 
-def most_used_within(limit: SpendLimit | None, granted: int, elapsed: float | None) -> int:
-    """Return the units of a grant that can have been used in so many seconds after a limit.
+def max_used_within(limit: SpendLimit | None, granted: int, elapsed: float | None) -> int:
+    """Return the most units of a grant that can have been used `elapsed` seconds after a limit.
 
-    Without a limit, or a time that is proved, that is all of them.
+    These are all units without a limit or a proved time.
 
     Examples
     --------
     >>> limit = SpendLimit(ClockReading("boot", 10.0, 1000.0), used=100, burst=50, pace=20)
-    >>> most_used_within(limit, 1000, 2.5), most_used_within(limit, 1000, None)
+    >>> max_used_within(limit, 1000, 2.5), max_used_within(limit, 1000, None)
     (200, 1000)
     """
     if limit is None or elapsed is None:
         return granted
-    return min(granted, units_at(limit, elapsed))
+    return min(granted, allowed_units(limit, elapsed))
--- a/railtide/budgets/tests/test_account_log.py
+++ b/railtide/budgets/tests/test_account_log.py
@@ -1,21 +1,21 @@
-"""Tests of railtide.budgets.account_log: what the lines on a budget say, and how often.
+"""Tests of `account_log`: the contents and rate of log lines on a budget.
 
-After a loss of power of all routers callers were refused, and the lines said only that units were
-"spent or written off" and how many a dead process had not reported. Whether its clocks had proved
-anything, and what a budget looked like when the new processes first read it, stood nowhere.
+Guards against refusals after a power loss of all routers that the log does not explain: lines said
+that units were "spent or written off", but neither whether the clocks proved anything nor what the
+budget's state was when the new processes first read it.
 """
 
 import pytest
 import trio
 
 from railtide.budgets.account_log import (
-    BURST_LINES,
-    LEAST_S,
+    MAX_BURST_LINES,
+    MIN_INTERVAL_S,
     AccountState,
     ClockProof,
-    LineAllowance,
+    LogTokenBucket,
     RefusalCause,
-    is_news,
+    is_significant_change,
     proof_of,
     refusal_cause,
     state_of,
@@ -36,7 +36,7 @@
 
 
 class FixedClocks(Clocks):
-    """Clocks of one boot that began `BOOT_S` before the virtual clock."""
+    """Clocks of a machine booted `BOOT_S` before the start of the virtual clock."""
 
     def __init__(self, boot: str) -> None:
         self._boot = boot
@@ -77,22 +77,22 @@
         assert state_of(Ledger(closed=400, billed=400), prepaid=100).left == -300
 
 
-class TestNews:
-    def test_small_changes_of_use_are_none(self) -> None:
+class TestSignificantChange:
+    def test_small_changes_are_not_significant(self) -> None:
         before = AccountState(1000, spent=100, written_off=0, in_hands=200, left=700)
-        assert not is_news(before, AccountState(1000, 150, 0, 180, 670))
-        assert is_news(before, AccountState(1000, 100, 0, 99, 801))
-        assert is_news(before, AccountState(1000, 200, 0, 200, 600))
+        assert not is_significant_change(before, AccountState(1000, 150, 0, 180, 670))
+        assert is_significant_change(before, AccountState(1000, 100, 0, 99, 801))
+        assert is_significant_change(before, AccountState(1000, 200, 0, 200, 600))
 
-    def test_any_write_off_and_any_other_budget_is(self) -> None:
+    def test_any_write_off_or_budget_change_is_significant(self) -> None:
         before = AccountState(1000, spent=100, written_off=0, in_hands=200, left=700)
-        assert is_news(before, AccountState(1000, 100, 1, 199, 700))
-        assert is_news(before, AccountState(1001, 100, 0, 200, 701))
-        assert is_news(None, before)
+        assert is_significant_change(before, AccountState(1000, 100, 1, 199, 700))
+        assert is_significant_change(before, AccountState(1001, 100, 0, 200, 701))
+        assert is_significant_change(None, before)
 
-    def test_lines_of_many_accounts_are_bounded_and_come_later(self) -> None:
-        allowance = LineAllowance()
-        assert sum(allowance.take(10.0) for _ in range(1000)) == BURST_LINES
+    def test_lines_of_many_accounts_are_rate_limited(self) -> None:
+        allowance = LogTokenBucket()
+        assert sum(allowance.take(10.0) for _ in range(1000)) == MAX_BURST_LINES
         assert not allowance.take(10.0)
         assert allowance.take(11.0)
 
@@ -104,7 +104,7 @@
         proof = proof_of(self.LIMIT, ClockReading("boot", 12.5, 1002.5))
         assert (proof.clocks, proof.since_report_s) == (ClockProof.PROVED, 2.5)
 
-    def test_each_reason_for_none_is_told(self) -> None:
+    def test_each_reason_for_a_missing_proof_is_reported(self) -> None:
         another = proof_of(self.LIMIT, ClockReading("boot 2", 1.5, 1004.0))
         assert (another.clocks, another.since_report_s) == (ClockProof.ANOTHER_BOOT, 4.0)
         anew = proof_of(self.LIMIT, ClockReading("boot", 1.5, 1004.0))
@@ -121,14 +121,14 @@
     def cause(self, amount: int, in_hand: int = 0, reached: bool = True) -> RefusalCause:
         return refusal_cause(self.STATE, amount, in_hand, reached)
 
-    def test_units_in_the_ledger_and_in_hands(self) -> None:
+    def test_units_in_the_ledger_and_at_other_routers(self) -> None:
         assert self.cause(100) is RefusalCause.IN_LEDGER
         assert self.cause(150, in_hand=50) is RefusalCause.IN_LEDGER
         assert self.cause(101) is RefusalCause.IN_OTHER_HANDS
         assert self.cause(100, reached=False) is RefusalCause.IN_LEDGER_AWAY
         assert self.cause(101, reached=False) is RefusalCause.IN_OTHER_HANDS_AWAY
 
-    def test_write_off_is_told_apart_from_spending(self) -> None:
+    def test_write_off_differs_from_spending(self) -> None:
         assert self.cause(301) is RefusalCause.WRITTEN_OFF
         assert self.cause(700) is RefusalCause.WRITTEN_OFF
         assert self.cause(701) is RefusalCause.SPENT
@@ -139,7 +139,7 @@
 
 
 class TestLines:
-    async def test_ledger_is_told_at_the_first_read_and_after_a_write_off(
+    async def test_ledger_is_logged_at_the_first_read_and_after_a_write_off(
         self, autojump_clock, lines: list[dict]
     ) -> None:
         store = MemoryStore()
@@ -147,20 +147,20 @@
         store.put(OPTIONS.topic, ACCOUNT, ledger_to_bytes(Ledger(400, 150, held)))
         async with trio.open_nursery() as nursery:
             nursery.start_soon(make_source(store, Counters()).run)
-            await trio.sleep(LEAST_S)
+            await trio.sleep(MIN_INTERVAL_S)
             state = {"prepaid": 1000, "spent": 250, "written_off": 250}
             state |= {"in_hands": 200, "left": 300}
             expected = {"event": "ledger-state", "account": ACCOUNT} | state
             assert of(lines, "ledger-state") == [expected]
             store.put(OPTIONS.topic, ACCOUNT, ledger_to_bytes(Ledger(700, 250)))
-            await trio.sleep(LEAST_S)
+            await trio.sleep(MIN_INTERVAL_S)
             written_off = [line["written_off"] for line in of(lines, "ledger-state")]
             assert written_off == [250, 450]
-            await trio.sleep(10 * LEAST_S)
+            await trio.sleep(10 * MIN_INTERVAL_S)
             assert len(of(lines, "ledger-state")) == 2
             nursery.cancel_scope.cancel()
 
-    async def test_ledgers_that_change_at_each_read_are_told_every_few_seconds(
+    async def test_ledgers_that_change_at_each_read_are_logged_every_few_seconds(
         self, autojump_clock, lines: list[dict]
     ) -> None:
         store = MemoryStore()
@@ -170,16 +170,16 @@
                 store.put(OPTIONS.topic, ACCOUNT, ledger_to_bytes(Ledger(closed)))
                 await trio.sleep(1)
             nursery.cancel_scope.cancel()
-        assert 5 <= len(of(lines, "ledger-state")) <= 30 / LEAST_S + 1
+        assert 5 <= len(of(lines, "ledger-state")) <= 30 / MIN_INTERVAL_S + 1
 
     @pytest.mark.parametrize(
         ("boot", "clocks", "units", "returned"),
         [("boot", "proved", 140, 760), ("before", "another-boot", 900, 0)],
     )
-    async def test_closed_hand_says_what_the_clocks_proved(
+    async def test_closed_holding_logs_what_the_clocks_proved(
         self, autojump_clock, lines: list[dict], boot: str, clocks: str, units: int, returned: int
     ) -> None:
-        """Of 900 units a burst of 100 and two seconds at 20 can have been spent."""
+        """Of 900 units, a burst of 100 and two seconds at a pace of 20 can have been spent."""
         store, counters = MemoryStore(), Counters()
         now = trio.current_time()
         made = ClockReading(boot, BOOT_S + now - 2.0, 1e9 + now - 2.0)
@@ -199,7 +199,7 @@
         assert counters.value("budget_units_written_off") == units
         assert counters.value("budget_units_returned") == returned
 
-    async def test_refusal_says_its_cause_and_is_counted_by_it(
+    async def test_refusal_is_logged_and_counted_by_cause(
         self, autojump_clock, lines: list[dict]
     ) -> None:
         store, counters = MemoryStore(), Counters()
@@ -215,7 +215,7 @@
         assert (line["cause"], line["written_off"]) == ("written-off", 680)
         assert counters.value("budget_refused_written_off") == 1
 
-    async def test_refusal_before_the_ledger_was_read_says_so(
+    async def test_refusal_before_the_first_read_is_logged_as_such(
         self, autojump_clock, lines: list[dict]
     ) -> None:
         store = MemoryStore()
@@ -229,7 +229,7 @@
         (line,) = of(lines, "budget-refused")
         assert line["cause"] == "ledger-unread"
 
-    async def test_first_request_with_a_cost_is_told_once(
+    async def test_first_request_with_a_cost_is_logged_once(
         self, autojump_clock, lines: list[dict]
     ) -> None:
         store = MemoryStore()
--- a/railtide/budgets/tests/test_large_partition.py
+++ b/railtide/budgets/tests/test_large_partition.py
@@ -1,4 +1,4 @@
-"""Tests of railtide.budgets.ledger_partition: more ledgers than one call of the store carries."""
+"""Tests of `ledger_partition` with more ledgers than one store call carries."""
 
 from contextlib import suppress
 
@@ -16,10 +16,10 @@
 
 OPTIONS = LedgerOptions()
 CALL_BYTES = 2_097_152
-"""Most of one append at the users' store."""
+"""Maximum size of one append at the users' store."""
 ROUTERS = 73
 ACCOUNTS = 400
-"""So many that their ledgers are 3 MB, half as much again as one append may have."""
+"""Enough that their ledgers take 3 MB, half as much again as one append may have."""
 
 
 def ledger_of_a_fleet() -> Ledger:
@@ -51,8 +51,8 @@
         ledgers = ACCOUNTS * len(ledger_to_bytes(ledger_of_a_fleet()))
         assert ledgers > 1.4 * CALL_BYTES
 
-    async def test_hands_are_filled_in_several_calls(self, autojump_clock) -> None:
-        """In one call for all, each try was refused and the next one was the same."""
+    async def test_allocations_are_filled_in_several_calls(self, autojump_clock) -> None:
+        """A single call for all was refused, and each retry was the same."""
         made = make_source(store_of_a_fleet())
         made.enable_preallocation()
         (part,) = made.partitions
@@ -63,7 +63,7 @@
             assert filled == ACCOUNTS
             nursery.cancel_scope.cancel()
 
-    async def test_others_are_heard_while_more_is_due_than_is_done(self, autojump_clock) -> None:
+    async def test_ledgers_are_read_while_changes_stay_due(self, autojump_clock) -> None:
         store = store_of_a_fleet()
         made = make_source(store)
         made.enable_preallocation()
@@ -73,7 +73,7 @@
             store.delay_s = 0.5
             for _ in range(5):
                 await trio.sleep(5)
-                assert part.ledger_age_ms < 1000 * (OPTIONS.idle_read_s + 2)
+                assert part.ledger_age_ms < 1000 * (OPTIONS.idle_read_interval_s + 2)
             nursery.cancel_scope.cancel()
 
     async def test_who_waits_goes_first(self, autojump_clock) -> None:
@@ -143,7 +143,7 @@
         return page
 
     async def change(self, account: str, every_s: float) -> None:
-        """Append to a ledger as another router would, for ever."""
+        """Append to a ledger repeatedly, as another router would."""
         value = ledger_to_bytes(ledger_of_a_fleet())
         while True:
             await trio.sleep(every_s)
@@ -151,8 +151,9 @@
 
 
 class TestLongRead:
-    async def test_grant_comes_beside_others_that_append(self, autojump_clock) -> None:
-        """All 400 ledgers take 5.6 s, within which others always append: no try ever won."""
+    async def test_grant_succeeds_while_others_append(self, autojump_clock) -> None:
+        """Reading all 400 ledgers takes 5.6 s, within which others always append: no
+        compare-and-swap after such a read ever succeeded."""
         store = store_of_a_fleet(NarrowStore())
         made = make_source(store)
         settings = AccountSettings(budget_wait_s=5.0)
@@ -165,7 +166,7 @@
             assert trio.current_time() - began < 1
             nursery.cancel_scope.cancel()
 
-    async def test_all_is_read_where_that_is_less(self, autojump_clock) -> None:
+    async def test_newest_are_read_if_that_is_less(self, autojump_clock) -> None:
         """A ledger that changes 500 times a second is read once a second."""
         store = NarrowStore()
         value = ledger_to_bytes(ledger_of_a_fleet())
@@ -178,7 +179,7 @@
             assert store.bytes_read < 150 * len(value)
             nursery.cancel_scope.cancel()
 
-    async def test_history_that_is_gone_is_read_from_the_newest(self, autojump_clock) -> None:
+    async def test_newest_are_read_if_history_expired(self, autojump_clock) -> None:
         store = store_of_a_fleet(NarrowStore())
         made = make_source(store)
         (part,) = made.partitions
@@ -189,5 +190,5 @@
             store.put(OPTIONS.topic, "account-7", ledger_to_bytes(changed))
             store.topic(OPTIONS.topic).forget()
             await trio.sleep(20)
-            assert part.budget("account-7").is_spent(1)
+            assert part.budget_for("account-7").is_exhausted(1)
             nursery.cancel_scope.cancel()
--- a/railtide/budgets/tests/test_ledger_budget_source.py
+++ b/railtide/budgets/tests/test_ledger_budget_source.py
@@ -25,7 +25,7 @@
 
 @dataclass
 class FakeClocks(Clocks):
-    """Clocks of one boot, which began at a moment of the virtual clock; the time of day was set."""
+    """Clocks of a machine that booted at `began_at` and whose wall clock was set by `set_by_s`."""
 
     boot: str
     began_at: float = 0.0
@@ -78,7 +78,7 @@
             (await made.reserve(ACCOUNT, SETTINGS, 50, trio.current_time() + 9)).settle(40)
             nursery.cancel_scope.cancel()
 
-    async def test_store_away_refuses_at_once(self, autojump_clock) -> None:
+    async def test_unreachable_store_refuses_at_once(self, autojump_clock) -> None:
         store = MemoryStore()
         made = make_source(store)
         async with trio.open_nursery() as nursery:
@@ -93,8 +93,8 @@
             assert OPTIONS.horizon_s - 3 <= refused.value.retry_after <= OPTIONS.horizon_s * 1.25
             nursery.cancel_scope.cancel()
 
-    async def test_callers_come_back_by_the_outages_that_were_seen(self, autojump_clock) -> None:
-        """Outages of four seconds: a caller refused a second into the sixth finds the store."""
+    async def test_retry_after_follows_observed_outages(self, autojump_clock) -> None:
+        """After five outages of 4 s, Retry-After early in the sixth points to about its end."""
         store = MemoryStore()
         made = make_source(store)
         async with trio.open_nursery() as nursery:
@@ -114,7 +114,7 @@
             assert lost_at + 3.5 <= back_at <= lost_at + 8
             nursery.cancel_scope.cancel()
 
-    async def test_ledger_read_long_ago_refuses_nobody(self, autojump_clock) -> None:
+    async def test_stale_ledger_refuses_nobody(self, autojump_clock) -> None:
         store = MemoryStore()
         spent = Ledger(by_instance={"i2": Holding("i2-1", granted=1000, spent=990)})
         store.put(OPTIONS.topic, ACCOUNT, ledger_to_bytes(spent))
@@ -124,11 +124,13 @@
             await trio.sleep(1)
             returned = Ledger(by_instance={"i2": Holding("i2-1", granted=100, spent=100)})
             store.put(OPTIONS.topic, ACCOUNT, ledger_to_bytes(returned))
-            await trio.sleep(OPTIONS.idle_read_s / 2)
+            await trio.sleep(OPTIONS.idle_read_interval_s / 2)
             (await made.reserve(ACCOUNT, SETTINGS, 50, trio.current_time() + 9)).settle(50)
             nursery.cancel_scope.cancel()
 
-    async def test_spent_budget_is_told_apart_from_one_in_other_hands(self, autojump_clock) -> None:
+    async def test_exhausted_budget_differs_from_one_allocated_elsewhere(
+        self, autojump_clock
+    ) -> None:
         store = MemoryStore()
         other = Ledger(by_instance={"i2": Holding("i2-1", granted=1000, spent=300)})
         store.put(OPTIONS.topic, ACCOUNT, ledger_to_bytes(other))
@@ -171,7 +173,7 @@
 
 
 class TestLedgers:
-    async def test_lost_answer_is_learnt_by_reading(self, autojump_clock) -> None:
+    async def test_lost_answer_is_resolved_by_reading(self, autojump_clock) -> None:
         store = MemoryStore()
         made = make_source(store)
         store.lose_answers = 1
@@ -181,7 +183,7 @@
             nursery.cancel_scope.cancel()
         assert committed(ledger_of(store)) == 50
 
-    async def test_learning_of_a_lost_answer_keeps_what_others_wrote_since(
+    async def test_resolving_a_lost_answer_keeps_later_writes_of_others(
         self, autojump_clock
     ) -> None:
         store = MemoryStore()
@@ -215,7 +217,7 @@
             nursery.cancel_scope.cancel()
         assert committed(ledger_of(store)) == 50
 
-    async def test_new_process_writes_off_the_hand_of_the_one_before(self, autojump_clock) -> None:
+    async def test_new_process_writes_off_its_predecessors_holding(self, autojump_clock) -> None:
         store = MemoryStore()
         for life, expected in (("1", 50), ("2", 110)):
             made = make_source(store, life=life)
@@ -238,7 +240,7 @@
             assert committed(ledger_of(store)) == 30
             nursery.cancel_scope.cancel()
 
-    async def test_lower_budget_takes_idle_units_back(self, autojump_clock) -> None:
+    async def test_lower_budget_returns_idle_units(self, autojump_clock) -> None:
         store = MemoryStore()
         made = make_source(store)
         made.enable_preallocation()
@@ -253,7 +255,7 @@
             assert committed(ledger_of(store)) == 200
             nursery.cancel_scope.cancel()
 
-    async def test_history_that_expired_is_read_again(self, autojump_clock) -> None:
+    async def test_expired_history_is_read_from_the_newest(self, autojump_clock) -> None:
         store = MemoryStore()
         made = make_source(store)
         async with trio.open_nursery() as nursery:
@@ -282,9 +284,7 @@
                 await made.reserve("other", SETTINGS, 10, trio.current_time() + 9)
             nursery.cancel_scope.cancel()
 
-    async def test_refill_that_found_nothing_does_not_hold_back_a_request(
-        self, autojump_clock
-    ) -> None:
+    async def test_refused_refill_does_not_delay_a_request(self, autojump_clock) -> None:
         store = MemoryStore()
         others = Ledger(by_instance={"i2": Holding("i2-1", granted=500)})
         store.put(OPTIONS.topic, ACCOUNT, ledger_to_bytes(others))
@@ -296,7 +296,7 @@
             (await made.reserve(ACCOUNT, SETTINGS, 50, trio.current_time() + 9)).settle(50)
             began = trio.current_time()
             await made.reserve(ACCOUNT, SETTINGS, 90, trio.current_time() + 9)
-            assert trio.current_time() - began < OPTIONS.read_s / 10
+            assert trio.current_time() - began < OPTIONS.read_interval_s / 10
             nursery.cancel_scope.cancel()
 
     async def test_idle_router_returns_its_share_as_the_budget_shrinks(
@@ -317,10 +317,8 @@
 
 
 class TestGrowth:
-    async def test_hand_is_whole_again_only_as_long_behind_an_outage_as_it_lasted(
-        self, autojump_clock
-    ) -> None:
-        """A loss of power often follows an outage; a router of 100 units a second, 8 s away."""
+    async def test_allocation_regrows_as_slowly_as_the_outage_lasted(self, autojump_clock) -> None:
+        """Power losses often follow outages: an outage of 8 s at a router of 100 units a second."""
         store = MemoryStore()
         made = make_source(store)
         made.set_prepaid({ACCOUNT: 20_000})
@@ -349,7 +347,7 @@
     """A router serves 100 units a second from a budget of 10,000 and is killed after 20 s."""
 
     async def _serve(self, made: LedgerBudgetSource, seconds: float) -> int:
-        """Have 20 units reserved five times a second; return the units served."""
+        """Reserve 20 units five times a second; return the units served."""
         served = 0
         for _ in range(round(seconds * 5)):
             try:
@@ -361,7 +359,7 @@
         return served
 
     async def _written_off(self, boots: tuple[str, str], away_s: float = 0.0) -> int:
-        """Return the units that a kill and a restart after a second write off."""
+        """Return the units written off by a kill and a restart one second later."""
         store = MemoryStore()
         spent = 0
         for life, boot in enumerate(boots):
@@ -380,21 +378,19 @@
             await trio.sleep(1)
         return ledger_of(store).closed - spent
 
-    async def test_kill_loses_seconds_of_traffic_in_place_of_the_hand(self, autojump_clock) -> None:
+    async def test_kill_loses_seconds_of_traffic_not_the_allocation(self, autojump_clock) -> None:
         assert await self._written_off(("boot", "another boot")) > 700
         assert 0 <= await self._written_off(("boot", "boot")) <= 400
 
     async def test_pace_that_counts_late_saves_a_second_of_traffic(self, autojump_clock) -> None:
-        """The same kill: before the pace waited for the next report, 365 units were lost."""
+        """The same kill; with a pace that counted at once, 365 units were lost."""
         assert 0 <= await self._written_off(("boot", "boot")) <= 300
 
-    async def test_kill_with_the_store_away_never_frees_what_was_spent(
-        self, autojump_clock
-    ) -> None:
+    async def test_kill_during_an_outage_never_frees_spent_units(self, autojump_clock) -> None:
         for away_s in (0.3, 2.0, 6.0):
             assert 0 <= await self._written_off(("boot", "boot"), away_s)
 
-    async def test_report_under_way_does_not_lift_the_limit_in_force(self, autojump_clock) -> None:
+    async def test_unconfirmed_report_does_not_lift_the_current_limit(self, autojump_clock) -> None:
         store = MemoryStore()
         made = make_source(store, boot="boot")
         made.set_prepaid({ACCOUNT: 10_000})
@@ -408,7 +404,7 @@
                     await made.reserve(ACCOUNT, SETTINGS, 700, trio.current_time() + 9)
             nursery.cancel_scope.cancel()
 
-    async def test_hand_lasts_as_long_without_the_store(self, autojump_clock) -> None:
+    async def test_limit_does_not_shorten_service_in_an_outage(self, autojump_clock) -> None:
         store = MemoryStore()
         served_by_boot = {}
         for boot in ("", "boot"):
@@ -424,7 +420,7 @@
             store.down = False
         assert served_by_boot["boot"] >= 0.95 * served_by_boot[""]
 
-    async def test_request_beyond_the_pace_is_told_when_it_fits(self, autojump_clock) -> None:
+    async def test_request_beyond_the_pace_gets_a_retry_after(self, autojump_clock) -> None:
         store = MemoryStore()
         made = make_source(store, boot="boot")
         made.set_prepaid({ACCOUNT: 10_000})
@@ -443,10 +439,10 @@
 
 @dataclass
 class Fleet:
-    """Routers over one store, what each truly spent, and faults drawn from a seed.
+    """Routers over one store with faults drawn from a seed, and the units that they really spent.
 
-    With `shift_s` callers move on to another router after so many seconds, and some requests are
-    so large that they need what lies in other hands.
+    With `shift_s`, callers move to the next router every `shift_s` seconds, and some requests are
+    so large that they need units allocated to other routers.
     """
 
     shift_s: float = 0.0
@@ -457,7 +453,7 @@
     lives: int = 0
 
     async def live(self, name: str, rng: Random) -> None:
-        """Be a router that is killed and started again, for ever."""
+        """Run a router that is killed and restarted repeatedly."""
         clocks = FakeClocks("boot")
         while True:
             self.lives += 1
@@ -475,26 +471,26 @@
                         await trio.sleep(rng.uniform(0.0, 0.4))
 
     def _has_traffic(self, name: str) -> bool:
-        """Return whether callers use a router now."""
+        """Return whether callers use this router now."""
         if not self.shift_s:
             return True
         turn = int(trio.current_time() / self.shift_s) % len(ROUTERS)
         return name == ROUTERS[turn]
 
     def _amount(self, rng: Random) -> int:
-        """Return the greatest cost of a request."""
+        """Return the maximum cost of a request."""
         if self.shift_s and rng.random() < 0.2:
             return rng.randint(60, 300)
         return rng.randint(1, 60)
 
-    def _note_needs(self) -> None:
-        """Count the needs that the ledger tells of."""
+    def _count_shortfalls(self) -> None:
+        """Count the shortfalls reported in the ledger."""
         held = ledger_of(self.store).by_instance.values()
-        self.needs += sum(1 for holding in held if holding.need)
+        self.needs += sum(1 for holding in held if holding.shortfall)
 
     @staticmethod
     def _after_power_loss(rng: Random) -> FakeClocks:
-        """Return clocks that began anew, the steady one anywhere, and at times with the old id."""
+        """Return restarted clocks with any steady time, in half of the cases with the same id."""
         boot = "boot" if rng.random() < 0.5 else f"boot-{rng.random()}"
         return FakeClocks(boot, trio.current_time() - rng.uniform(0.0, 40.0))
 
@@ -503,7 +499,7 @@
         try:
             reserved = await made.reserve(ACCOUNT, SETTINGS, amount, trio.current_time() + 1)
         except BudgetError:
-            self._note_needs()
+            self._count_shortfalls()
             return
         used = rng.randint(0, amount)
         self.spent += used
@@ -512,7 +508,7 @@
         self.served += 1
 
     async def break_store(self, rng: Random) -> None:
-        """Let the store fail in all its ways, for ever."""
+        """Inject all kinds of store faults, one after another, until cancelled."""
         while True:
             await trio.sleep(rng.uniform(0.1, 1.5))
             fault = rng.choice(["down", "lost", "late", "forget", "slow", "none"])
@@ -527,7 +523,7 @@
 
 
 def play(fleet: Fleet, seed: int) -> None:
-    """Have a fleet's routers serve and die for 25 s, and check that the budget is kept."""
+    """Run a fleet for 25 s of kills and store faults; check that the budget is not exceeded."""
 
     async def run() -> None:
         rng = Random(seed)
@@ -545,15 +541,15 @@
 
 class TestNoOverspend:
     @given(seed=st.integers(0, 10_000))
-    def test_under_kills_and_a_store_that_fails_in_all_its_ways(self, seed: int) -> None:
+    def test_under_kills_and_all_store_faults(self, seed: int) -> None:
         play(Fleet(), seed)
 
     @settings(max_examples=40)
     @given(seed=st.integers(0, 10_000))
-    def test_with_needs_told_while_callers_move(self, seed: int) -> None:
+    def test_with_reported_shortfalls_while_callers_move(self, seed: int) -> None:
         play(Fleet(shift_s=2.0), seed)
 
-    def test_moving_callers_have_needs_told(self) -> None:
+    def test_moving_callers_cause_reported_shortfalls(self) -> None:
         fleets = [Fleet(shift_s=2.0) for _ in range(10)]
         for seed, fleet in enumerate(fleets):
             play(fleet, seed)
--- a/railtide/budgets/tests/test_log_budget_source.py
+++ b/railtide/budgets/tests/test_log_budget_source.py
@@ -1,4 +1,4 @@
-"""Tests of railtide.budgets.log_budget_source."""
+"""Tests of `log_budget_source`."""
 
 import pytest
 import trio
@@ -15,7 +15,7 @@
 
 
 class Book:
-    """A stand-in for the log that grants from a budget at once, or not at all."""
+    """A fake log that grants from a budget immediately, or not at all."""
 
     def __init__(self, budget: int, reachable: bool = True) -> None:
         self.budget = budget
@@ -94,7 +94,7 @@
             await book.reserve(30)
         assert trio.current_time() == began
 
-    async def test_hand_serves_on_in_an_outage(self, autojump_clock, nursery_scope) -> None:
+    async def test_allocation_serves_in_an_outage(self, autojump_clock, nursery_scope) -> None:
         book = Book(1000)
         nursery_scope.start_soon(book.run)
         (await book.reserve(10)).settle(10)
@@ -134,7 +134,7 @@
         assert held.settle(5) == 0
         assert book.budgets.epoch.allocation("acc").spent == 20
 
-    async def test_extends_only_from_the_hand(self, autojump_clock, nursery_scope) -> None:
+    async def test_extends_only_from_the_allocation(self, autojump_clock, nursery_scope) -> None:
         book = Book(100)
         nursery_scope.start_soon(book.run)
         held = await book.reserve(60)
@@ -166,7 +166,9 @@
         await trio.sleep(2)
         assert book.records[-1] == Close()
 
-    async def test_demand_returns_what_lies_idle(self, autojump_clock, nursery_scope) -> None:
+    async def test_return_idle_returns_unreserved_units(
+        self, autojump_clock, nursery_scope
+    ) -> None:
         book = Book(1000)
         nursery_scope.start_soon(book.run)
         (await book.reserve(30)).settle(30)
@@ -175,7 +177,9 @@
         assert book.records[-1] == GrantReturn("acc", 70)
         assert book.budgets.epoch.allocation("acc").available == 0
 
-    async def test_traffic_that_ends_gives_back(self, autojump_clock, nursery_scope) -> None:
+    async def test_units_are_returned_after_traffic_ends(
+        self, autojump_clock, nursery_scope
+    ) -> None:
         book = Book(100_000)
         nursery_scope.start_soon(book.run)
         nursery_scope.start_soon(book.budgets.run)
