--- a/railtide/budgets/tests/test_losses.py
+++ b/railtide/budgets/tests/test_losses.py
@@ -1,18 +1,14 @@
-"""Tests of what losses of power take from a budget, one after another.
+"""Tests of how much of a budget repeated power losses write off.
 
-What users saw: all machines lost power and were back 1.5 s later, ready and with their upstreams.
-Twelve seconds on, calls without a cost were answered and 20 of 94 requests were served in all; a
-quarter is promised. Order: losses of some routers through the day, one of all at its end.
+Guards against budgets that are exhausted by a series of power losses: some routers lost power
+through the day and all of them at its end, and after 12 s only 20 of 94 requests had been served,
+where a quarter is required. Most others were refused as `budget-exhausted`, since 558,785 units of
+the three largest accounts were written off at once; after a power loss no clock proves what a dead
+process did not spend.
 
-Evidence, from the lines of the same day with other luck: behind the return 262 requests ended
-`budget-exhausted`, 38 `budget-unavailable`, 24 `deadline-exceeded` and 2 `not-ready`. The lines of
-the closed hands show 558,785 units of the three largest accounts counted as spent in one moment
-(242,778 of one router's hand, a fifth of that account's budget) and nothing returned: after a loss
-of power no clock proves what a dead process has not spent.
-
-Cause: what lies in hands ahead of need was bounded by a share of what is left, whatever had been
-lost before, and was as large for traffic of seconds as for traffic of a minute. So each loss took
-its share again, and an account was empty after three or four.
+Cause: preallocation was bounded by a share of the remaining budget whatever had been lost before,
+and was as large after seconds of traffic as after a minute. Each loss took its share again, and an
+account was empty after three or four.
 """
 
 from random import Random
@@ -36,31 +32,31 @@
 AMOUNT = 20
 """Units of a request."""
 RATE = 100
-"""Units a second that callers ask of each router."""
+"""Units a second requested from each router."""
 AWAY_S = 1.0
-"""From a loss of power to the next start."""
+"""Time from a power loss to the next start."""
 
 
 class BootClocks(Clocks):
-    """Clocks that began at the machine's last boot."""
+    """Clocks that restarted with the machine's last boot."""
 
     def __init__(self, boot: str) -> None:
         self._boot = boot
         self._began_at = trio.current_time()
 
     def read(self) -> ClockReading:
-        """Return what they say now."""
+        """Return the current reading."""
         now = trio.current_time()
         return ClockReading(self._boot, now - self._began_at, 1e9 + now)
 
 
 class Machines:
-    """Routers that all lose power again and again, and their callers.
+    """Routers that repeatedly all lose power, and their callers.
 
     Attributes
     ----------
     asked, spent : int
-        Units, over all lives.
+        Units requested and spent, over all incarnations.
     """
 
     def __init__(self, budget: int, names: tuple[str, ...] = ("i1", "i2")) -> None:
@@ -72,9 +68,9 @@
         self._boots = 0
 
     async def live(self, seconds: float, idle_s: float = 0.0) -> float:
-        """Run all routers until they lose power; return the share of requests served.
+        """Run all routers until they lose power; return the fraction of requests served.
 
-        Callers come after `idle_s`.
+        Callers arrive after `idle_s`.
         """
         before = self.asked, self.spent
         self._boots += 1
@@ -111,39 +107,39 @@
 
     @property
     def lost(self) -> int:
-        """Units that can't be spent any more and never were, all routers being dead."""
+        """Units committed but never spent, while all routers are dead."""
         return committed(self.ledger) - self.spent
 
     @property
     def ledger(self) -> Ledger:
-        """The account's ledger as it is stored."""
+        """The account's stored ledger."""
         return ledger_from_bytes(self.store.topic(OPTIONS.topic).newest_by_key[ACCOUNT].value)
 
 
-class TestLossesInSeries:
-    async def test_service_is_back_behind_five_losses_of_all_routers(self, autojump_clock) -> None:
-        """A budget of one and a half times what its callers ask for in all.
+class TestRepeatedLosses:
+    async def test_service_recovers_after_five_losses_of_all_routers(self, autojump_clock) -> None:
+        """The budget is one and a half times what callers request in total.
 
-        Before, 5% of the last requests were served; 68 to 71% now, in ten runs, which differ
-        by the order of tasks.
+        Without the loss bound 5% of the last requests were served; with it 68 to 71% in ten runs,
+        which differ by the order of tasks.
         """
         machines = Machines(budget=16_000)
         for _ in range(5):
             await machines.live(8.0)
         assert await machines.live(12.0) >= 0.5
 
-    async def test_account_whose_traffic_began_seconds_ago_loses_seconds_of_it(
+    async def test_account_with_seconds_of_traffic_loses_seconds_of_it(
         self, autojump_clock
     ) -> None:
-        """Routers that have run for long, callers since 2.5 s: 2,216 units lost before, 795 now."""
+        """Routers run for long, callers for 2.5 s: 795 units lost, 2,216 without growth limit."""
         machines = Machines(budget=21_000)
         await machines.live(22.5, idle_s=20.0)
         await machines.live(1.0)
         assert machines.lost <= 2 * RATE * 2.5 * 2
 
     @given(seed=st.integers(0, 10_000))
-    def test_losses_together_take_no_more_than_their_share_of_the_budget(self, seed: int) -> None:
-        """Any number of losses at any moments: before, 9,501 of 20,000 units went with one seed."""
+    def test_losses_together_stay_within_their_share_of_the_budget(self, seed: int) -> None:
+        """Any number of losses at any times; without bound one seed lost 9,501 of 20,000 units."""
         machines = Machines(budget=20_000)
 
         async def run() -> None:
--- a/railtide/budgets/tests/test_peer_reports.py
+++ b/railtide/budgets/tests/test_peer_reports.py
@@ -1,7 +1,7 @@
-"""Tests of railtide.budgets.peer_reports: what a peer proves of a process that lost power.
+"""Tests of `peer_reports`: bounds that a peer proves for a process that lost power.
 
-What users saw: a quarter of a day's budgets was gone behind losses of power of some routers, though
-others lived through them and knew for how long the dead ones can have gone on.
+Guards against writing off whole holdings after power losses of some routers, though surviving peers
+know how long the dead ones can have lived: a quarter of a day's budgets was lost that way.
 """
 
 from collections.abc import Callable
@@ -18,13 +18,13 @@
 from railtide.budgets.ledger import (
     Holding,
     Ledger,
-    close_former,
+    close_predecessor,
     committed,
     ledger_to_bytes,
     return_unproved,
 )
 from railtide.budgets.peer_reports import PeerReports
-from railtide.budgets.process_context import Holder
+from railtide.budgets.process_context import ProcessContext
 from railtide.budgets.spend_limit import NO_CLOCK_READING, ClockReading, Clocks, SpendLimit
 from railtide.budgets.tests.test_ledger_budget_source import (
     ACCOUNT,
@@ -49,14 +49,14 @@
 
 
 def dead(spent: int = 100) -> Holding:
-    """Return the last holding of a process that reported `LIMIT`."""
+    """Return the last holding of a process that committed to `LIMIT`."""
     return Holding("b1", granted=1000, spent=spent, limit=LIMIT, address=ADDRESS)
 
 
 def closed(former: Holding) -> Ledger:
-    """Return a ledger in which the next process has closed the holding without a proof."""
+    """Return a ledger in which the next process closed the holding without a proof."""
     ledger = Ledger(by_instance={"b": former})
-    close_former(ledger, "b", "b2", NO_CLOCK_READING, ADDRESS)
+    close_predecessor(ledger, "b", "b2", NO_CLOCK_READING, ADDRESS)
     return ledger
 
 
@@ -69,7 +69,7 @@
         peers.observe(Ledger(by_instance={"b": dead()}), at(1.0), at(2.0))
         peers.observe(closed(dead()), at(4.0), at(5.0))
         peers.observe(closed(dead()), at(8.0), at(9.0))
-        assert peers.used_at_most("b1") == 100 + 50 + 20 * 4
+        assert peers.max_used("b1") == 100 + 50 + 20 * 4
 
     def test_later_report_counts_from_a_later_append(self) -> None:
         peers = PeerReports()
@@ -77,13 +77,13 @@
         peers.observe(Ledger(by_instance={"b": dead(spent=90)}), at(1.0), at(2.0))
         peers.observe(Ledger(by_instance={"b": dead()}), at(3.0), at(4.0))
         peers.observe(closed(dead()), at(4.5), at(5.0))
-        assert peers.used_at_most("b1") == 100 + 50 + 20 * 2
+        assert peers.max_used("b1") == 100 + 50 + 20 * 2
 
-    def test_report_that_was_there_at_the_first_look_proves_nothing(self) -> None:
+    def test_report_present_at_the_first_read_proves_nothing(self) -> None:
         peers = PeerReports()
         peers.observe(Ledger(by_instance={"b": dead()}), at(1.0), at(1.5))
         peers.observe(closed(dead()), at(2.0), at(2.5))
-        assert peers.used_at_most("b1") == 1000
+        assert peers.max_used("b1") == 1000
 
     def test_ledger_that_was_not_read_in_between_proves_nothing(self) -> None:
         peers = PeerReports()
@@ -91,14 +91,14 @@
         peers.forget()
         peers.observe(Ledger(by_instance={"b": dead()}), at(1.0), at(1.5))
         peers.observe(closed(dead()), at(2.0), at(2.5))
-        assert peers.used_at_most("b1") == 1000
+        assert peers.max_used("b1") == 1000
 
     def test_clock_that_was_set_proves_nothing(self) -> None:
         peers = PeerReports()
         peers.observe(Ledger(), NO_CLOCK_READING, at(0.0))
         peers.observe(Ledger(by_instance={"b": dead()}), at(1.0), at(1.5))
         peers.observe(closed(dead()), at(2.0), ClockReading("own", 2.5, 1e9 + 9.0))
-        assert peers.used_at_most("b1") == 1000
+        assert peers.max_used("b1") == 1000
 
 
 class TestReturn:
@@ -114,26 +114,26 @@
 
     def test_is_not_made_for_a_machine_at_another_address(self) -> None:
         ledger = Ledger(by_instance={"b": dead()})
-        close_former(ledger, "b", "b2", NO_CLOCK_READING, "elsewhere:1")
+        close_predecessor(ledger, "b", "b2", NO_CLOCK_READING, "elsewhere:1")
         assert (ledger.closed, ledger.unproved) == (1000, {})
 
     def test_older_holding_of_an_instance_stays_closed(self) -> None:
         ledger = closed(dead())
         ledger.by_instance["b"] = Holding("b2", granted=500, spent=1, limit=LIMIT, address=ADDRESS)
-        close_former(ledger, "b", "b3", NO_CLOCK_READING, ADDRESS)
+        close_predecessor(ledger, "b", "b3", NO_CLOCK_READING, ADDRESS)
         assert ledger.unproved["b"].incarnation == "b2"
         assert ledger.closed == 1500
 
 
 class Pair:
-    """A router that lives and one that loses power, both with callers."""
+    """A router that survives and one that loses power, both with callers."""
 
     def __init__(self) -> None:
         self.store = MemoryStore()
         self.spent = 0
 
     async def serve(self, name: str, life: str, boot: str, seconds: float) -> None:
-        """Be a router for so long."""
+        """Run a router for a number of seconds."""
         clocks = FakeClocks(boot, trio.current_time())
         made = make_source_with(self.store, name, life, 2, clocks)
         made.set_prepaid({ACCOUNT: BUDGET})
@@ -154,9 +154,10 @@
         self.spent += AMOUNT
 
     async def lost_in_seconds(self, away_s: float, cut_s: float) -> int:
-        """Return the units that a loss of power of one router takes.
+        """Return the units lost by a power loss of one router.
 
-        The store is away for the last `cut_s` seconds before it, and power for `away_s`.
+        The store is unreachable for the last `cut_s` seconds before it, and the router is down for
+        `away_s` seconds.
         """
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.serve, "i1", "1", "own", 30.0)
@@ -173,19 +174,19 @@
         )
 
 
-class TestLossOfPowerBesideALivingPeer:
-    async def test_takes_seconds_of_traffic_in_place_of_the_hand(self, autojump_clock) -> None:
-        """Before, 969 units were lost, all of the hand; 487 to 589 now, in ten runs."""
+class TestPowerLossWithSurvivingPeer:
+    async def test_loses_seconds_of_traffic_not_the_allocation(self, autojump_clock) -> None:
+        """Without a peer's proof the whole holding of 969 units was lost; 487 to 589 with it."""
         lost = await Pair().lost_in_seconds(away_s=2.0, cut_s=0.0)
         assert -2 * AMOUNT <= lost <= 700
 
-    async def test_behind_an_outage_never_frees_what_was_spent(self, autojump_clock) -> None:
+    async def test_after_an_outage_never_frees_spent_units(self, autojump_clock) -> None:
         for away_s, cut_s in ((1.0, 1.0), (1.0, 4.0), (3.0, 6.0)):
             assert await Pair().lost_in_seconds(away_s, cut_s) >= -2 * AMOUNT
 
 
 class TestObserver:
-    """A router `i1` that reads what `i2` wrote; `i2` spends 100 units a second once it reported."""
+    """Router `i1` reads what `i2` wrote; `i2` spends 100 units a second after its report."""
 
     @staticmethod
     def _dead(made_at: float) -> Holding:
@@ -198,8 +199,8 @@
             ledger.by_instance["i1"] = held
         store.put(OPTIONS.topic, ACCOUNT, ledger_to_bytes(ledger))
 
-    async def test_append_under_way_proves_nothing_yet(self, autojump_clock) -> None:
-        """The other's report is made while an append of this router waits to be done."""
+    async def test_unconfirmed_append_proves_nothing(self, autojump_clock) -> None:
+        """The other's report is made while an append of this router is not yet applied."""
         store = MemoryStore()
         made = make_source_with(store, "i1", "1", 2, FakeClocks("own"))
         async with trio.open_nursery() as nursery:
@@ -215,35 +216,37 @@
             store.late_appends = 0
             await trio.sleep(2)
             ledger = ledger_of(store)
-            close_former(ledger, "i2", "i2-2", NO_CLOCK_READING, "i2:1")
+            close_predecessor(ledger, "i2", "i2-2", NO_CLOCK_READING, "i2:1")
             closed_at = trio.current_time()
             self._put(store, ledger)
             await trio.sleep(2)
             nursery.cancel_scope.cancel()
         assert RATE * (closed_at - reported_at) <= ledger_of(store).closed <= 900
 
-    async def test_unreadable_ledger_is_read_as_at_the_first_look(self, autojump_clock) -> None:
-        holder = Holder("i1", "i1-1", lambda: 2, OPTIONS, SteadyClocks(), at(0.0))
-        budget = AccountBudget(ACCOUNT, holder, lambda: None, lambda: 10.0)
+    async def test_ledger_after_an_unreadable_one_counts_as_first_read(
+        self, autojump_clock
+    ) -> None:
+        process = ProcessContext("i1", "i1-1", lambda: 2, OPTIONS, SteadyClocks(), at(0.0))
+        budget = AccountBudget(ACCOUNT, process, lambda: None, lambda: 10.0)
         budget.set_prepaid(BUDGET)
-        budget.take_ledger(Ledger(), NO_CLOCK_READING)
+        budget.apply_ledger(Ledger(), NO_CLOCK_READING)
         budget.loaded = False
-        budget.take_ledger(Ledger(by_instance={"i2": self._dead(0.0)}), at(1.0))
+        budget.apply_ledger(Ledger(by_instance={"i2": self._dead(0.0)}), at(1.0))
         unproved = Ledger(closed=900, unproved={"i2": self._dead(0.0)})
-        budget.take_ledger(unproved, at(2.0))
+        budget.apply_ledger(unproved, at(2.0))
         assert not budget.is_due() or budget.plan().returned == {}
 
 
 class SteadyClocks(Clocks):
-    """Clocks that stand still."""
+    """Clocks that never advance."""
 
     def read(self) -> ClockReading:
-        """Return the same reading at all times."""
+        """Return the same reading every time."""
         return at(3.0)
 
 
 class Losses:
-    """Three routers that lose power at any moment while the store fails and clocks are set."""
+    """Three routers that lose power at random times while the store fails and clocks are set."""
 
     def __init__(self, rng: Random) -> None:
         self.store = MemoryStore()
@@ -252,7 +255,7 @@
         self._lives = 0
 
     async def live(self, name: str) -> None:
-        """Be a router that loses power again and again."""
+        """Run a router that loses power repeatedly."""
         rng = self._rng
         while True:
             self._lives += 1
@@ -283,7 +286,7 @@
         reserved.settle(amount)
 
     async def break_store(self) -> None:
-        """Let the store be away, slow, late or forgetful by turns."""
+        """Make the store unreachable, slow, late or lose answers, in random order."""
         rng = self._rng
         while True:
             await trio.sleep(rng.uniform(0.1, 1.5))
@@ -298,7 +301,7 @@
 
 class TestNoOverspend:
     @given(seed=st.integers(0, 10_000))
-    def test_under_losses_of_power_that_peers_live_through(self, seed: int) -> None:
+    def test_under_power_losses_that_peers_survive(self, seed: int) -> None:
         losses = Losses(Random(seed))
 
         async def run() -> None:
--- a/railtide/budgets/tests/test_report_identity.py
+++ b/railtide/budgets/tests/test_report_identity.py
@@ -1,17 +1,16 @@
-"""Tests of what the proofs of a budget rest on: whose report it is, when made, and whether written.
-
-What users would see: an account that spends more than its prepaid budget. Three orders of events
-lead there, each traced from the reading of the code and shown below.
-
-1. A router is cut off from the store and lives. A second machine of its name takes its place and
-   closes its hand. A peer takes the new name-bearer for a proof of death and returns the hand to
-   the budget, while the router goes on to spend it. Before peers returned hands it stayed closed.
-2. A router of an earlier release rewrites a ledger and drops a field from another's limit. The peer
-   takes the same report for a new one, made behind a later append of its own, so that it counts
-   seconds too few.
-3. The answer to an append is lost that returns a dead process's hand in one account, in which this
-   process holds nothing, and renews the limit of another. The process takes it for not written,
-   and forgets the limit that the ledger holds.
+"""Tests of what spending bounds rely on: whose report it is, when it was made, if it was written.
+
+Each guards against an account that spends more than its prepaid budget, by one order of events:
+
+1. A router is cut off from the store but alive. A second machine starts under its instance name and
+   closes its holding. A peer takes the new process for a proof of death and returns the holding to
+   the budget, while the first router continues to spend it.
+2. A router of an earlier release rewrites a ledger and drops a field from another router's limit. A
+   peer takes this for a new report made after its own latest append, so that it assumes too short a
+   time of spending.
+3. The answer is lost to an append that returns a dead process's units in one account, in which this
+   process holds nothing, and renews its limit in another. The process assumes that the append was
+   not written and forgets the limit that is in the ledger.
 """
 
 import msgspec
@@ -21,13 +20,13 @@
 from railtide.budgets.ledger import (
     Holding,
     Ledger,
-    close_former,
+    close_predecessor,
     ledger_from_bytes,
     ledger_to_bytes,
 )
 from railtide.budgets.ledger_budget_source import LedgerBudgetSource
 from railtide.budgets.peer_reports import PeerReports
-from railtide.budgets.spend_limit import NO_CLOCK_READING, ClockReading, SpendLimit, units_at
+from railtide.budgets.spend_limit import NO_CLOCK_READING, ClockReading, SpendLimit, allowed_units
 from railtide.budgets.tests.test_ledger_budget_source import (
     ACCOUNT,
     OPTIONS,
@@ -44,7 +43,7 @@
 
 
 class CutStore(MemoryStore):
-    """One router's way to a store; while it is `down`, the others still reach the store."""
+    """One router's connection to a store; while it is `down`, others still reach the store."""
 
     def __init__(self, store: MemoryStore) -> None:
         super().__init__()
@@ -78,7 +77,7 @@
         self._account = account
 
     async def spend(self, amount: int, pause_s: float, seconds: float = 1e9) -> None:
-        """Ask for an amount again and again."""
+        """Spend an amount repeatedly."""
         with trio.move_on_after(seconds):
             while True:
                 await self._request(amount)
@@ -94,9 +93,9 @@
         self.spent += amount
 
 
-class TestSecondMachineOfAName:
-    async def test_hand_of_a_router_that_lives_is_not_returned(self, autojump_clock) -> None:
-        """Before peers returned hands 991 of 1,000 units were spent; 1,201 with it."""
+class TestSecondMachineWithSameInstanceName:
+    async def test_holding_of_a_live_router_is_not_returned(self, autojump_clock) -> None:
+        """With holdings returned on such a false proof, 1,201 of 1,000 units were spent."""
         store = MemoryStore()
         way = CutStore(store)
         peer = make_source_with(store, "i1", "1", 2, FakeClocks("own"))
@@ -119,7 +118,7 @@
 
 
 class _EarlierLimit(msgspec.Struct, array_like=True, frozen=True):
-    """A limit as the release before `SpendLimit.pace_after_s` knows it."""
+    """A limit as known to the release before `SpendLimit.pace_after_s`."""
 
     made: ClockReading
     used: int
@@ -138,7 +137,7 @@
 
 
 class _EarlierLedger(msgspec.Struct, array_like=True):
-    """A ledger as that release knows it."""
+    """A ledger as known to that release."""
 
     closed: int = 0
     billed: int = 0
@@ -146,33 +145,33 @@
 
 
 def rewritten(ledger: Ledger) -> Ledger:
-    """Return a ledger as it is behind a write of the earlier release."""
+    """Return a ledger as it is after a write by the earlier release."""
     earlier = msgspec.msgpack.decode(ledger_to_bytes(ledger), type=_EarlierLedger)
     return ledger_from_bytes(msgspec.msgpack.encode(earlier))
 
 
-class TestReportThatAnEarlierReleaseRewrote:
-    def test_is_still_the_report_that_was_seen_first(self) -> None:
-        """8 s lie between the append before the report and the end; 1 s behind the rewriting."""
+class TestReportRewrittenByEarlierRelease:
+    def test_is_the_report_first_seen(self) -> None:
+        """The process may have lived for 8 s since the peer's append; the rewrite is 1 s old."""
         limit = SpendLimit(ClockReading("theirs", 70.0, 70.0), 100, 50, pace=20, pace_after_s=0.5)
         reported = Ledger(by_instance={"b": Holding("b1", 1000, 100, limit=limit)})
-        carried = rewritten(reported)
-        closed = Ledger(closed=1000, billed=100, unproved=carried.by_instance)
+        copied = rewritten(reported)
+        closed = Ledger(closed=1000, billed=100, unproved=copied.by_instance)
         peers = PeerReports()
         peers.observe(Ledger(), NO_CLOCK_READING, self._at(0.0))
         peers.observe(reported, self._at(1.0), self._at(2.0))
-        peers.observe(carried, self._at(8.0), self._at(8.5))
+        peers.observe(copied, self._at(8.0), self._at(8.5))
         peers.observe(closed, self._at(8.8), self._at(9.0))
-        assert peers.used_at_most("b1") >= units_at(limit, 8.0)
+        assert peers.max_used("b1") >= allowed_units(limit, 8.0)
 
     @staticmethod
     def _at(seconds: float) -> ClockReading:
         return ClockReading("own", seconds, 1e9 + seconds)
 
 
-class TestLostAnswerToTwoAccounts:
-    async def test_limit_in_the_ledger_is_kept_to(self, autojump_clock) -> None:
-        """The process spent 51 units beyond the limit by which its successor would bound it."""
+class TestLostAnswerForTwoAccounts:
+    async def test_limit_in_the_ledger_is_obeyed(self, autojump_clock) -> None:
+        """Without it the process spent 51 units beyond the limit that its successor relies on."""
         store = MemoryStore()
         clocks = FakeClocks("own")
         made = make_source_with(store, "i1", "1", 0, clocks)
@@ -208,7 +207,7 @@
     @staticmethod
     async def _lose_the_answer_to_its_return(store: MemoryStore, callers: Spender) -> None:
         ledger = ledger_of(store)
-        close_former(ledger, "i2", "i2-2", NO_CLOCK_READING, "i2:1")
+        close_predecessor(ledger, "i2", "i2-2", NO_CLOCK_READING, "i2:1")
         store.lose_answers = 1
         store.put(OPTIONS.topic, ACCOUNT, ledger_to_bytes(ledger))
         async with trio.open_nursery() as nursery:
@@ -221,4 +220,4 @@
     def _most(store: MemoryStore, clocks: FakeClocks) -> int:
         record = store.topic(OPTIONS.topic).newest_by_key[OTHER_ACCOUNT]
         limit = ledger_from_bytes(record.value).by_instance["i1"].limit
-        return units_at(limit, clocks.read().steady_s - limit.made.steady_s)
+        return allowed_units(limit, clocks.read().steady_s - limit.made_at.steady_s)
--- a/railtide/budgets/tests/test_returned_bounds.py
+++ b/railtide/budgets/tests/test_returned_bounds.py
@@ -1,9 +1,9 @@
-"""Property test of each return by a peer: never below what the dead process had truly used.
+"""Property test: a peer's return leaves at least the units that the dead process really used.
 
-In the property test of `test_peer_reports.py` lives of 0.5 to 6 s and requests that exhaust the
-budget leave a peer nothing to return: in 60 seeds not one unit was returned. Here lives are long
-enough for hands to be larger than what a limit allows in the seconds until the next process, and
-each return is held against the use of that one process, not the sum against the budget.
+In the property test of `test_peer_reports.py` processes live for 0.5 to 6 s and requests exhaust
+the budget, which leaves nothing to return: not one unit in 60 seeds. Here processes live long
+enough that holdings exceed what a limit allows until the next process starts, and each return is
+compared with the use of that one process instead of the sum with the budget.
 """
 
 from random import Random
@@ -27,17 +27,17 @@
 
 BUDGET = 9_000
 EXAMPLES = 25
-"""Days of a minute, of 0.6 s each; about 90 returns in all."""
+"""Simulations of one minute, which take 0.6 s each; about 90 returns in total."""
 NAMES = ("i1", "i2", "i3")
 
 
 class LongLosses(Losses):
-    """Routers with steady callers, which live for seconds to half a minute.
+    """Routers with steady callers, which live for 4 to 25 s.
 
     Attributes
     ----------
     used_by_incarnation : dict of str to int
-        Units that each process reserved, of which none comes back.
+        Units that each process reserved; all are spent.
     """
 
     def __init__(self, rng: Random) -> None:
@@ -45,7 +45,7 @@
         self.used_by_incarnation: dict[str, int] = {}
 
     async def live(self, name: str) -> None:
-        """Be a router that loses power again and again."""
+        """Run a router that loses power repeatedly."""
         rng = self._rng
         while True:
             self._lives += 1
@@ -82,7 +82,7 @@
         reserved.settle(amount)
 
     def returns(self) -> list[tuple[Holding, int]]:
-        """Return each holding that peers returned a part of, and the units left as spent of it."""
+        """Return each holding that peers returned units of, and its units that count as spent."""
         records = self.store.topic(OPTIONS.topic).records
         ledgers = [Ledger(), *(ledger_from_bytes(record.value) for record in records)]
         changes = zip(ledgers, ledgers[1:], strict=False)
@@ -90,7 +90,7 @@
 
 
 def _returned_by(before: Ledger, after: Ledger) -> list[tuple[Holding, int]]:
-    """Return what one change of a ledger returned, if it is all that it did to closed units."""
+    """Return the holding that a ledger change returned units of, if it did nothing else to it."""
     gone = [name for name in before.unproved if name not in after.unproved]
     returned = before.closed - after.closed
     if len(gone) != 1 or returned <= 0:
@@ -100,7 +100,7 @@
 
 
 def losses_of(seed: int) -> LongLosses:
-    """Return losses that lasted for a minute."""
+    """Run losses for one minute and return them."""
     losses = LongLosses(Random(seed))
 
     async def run() -> None:
@@ -117,11 +117,11 @@
 class TestReturnedBounds:
     @settings(max_examples=EXAMPLES)
     @given(seed=st.integers(0, 10_000))
-    def test_cover_what_the_dead_process_used(self, seed: int) -> None:
+    def test_cover_units_used_by_the_dead_process(self, seed: int) -> None:
         losses = losses_of(seed)
         for dead, left in losses.returns():
             assert left >= losses.used_by_incarnation[dead.incarnation]
 
     def test_returns_are_made(self) -> None:
-        """Else the test above shows nothing."""
+        """The test above is only meaningful if returns occur."""
         assert sum(len(losses_of(seed).returns()) for seed in range(8)) >= 4
--- a/railtide/budgets/tests/test_rollback.py
+++ b/railtide/budgets/tests/test_rollback.py
@@ -1,7 +1,4 @@
-"""Tests of the ledgers over a store that comes back older.
-
-They show what holds among routers that live, and that all have read the rise.
-"""
+"""Tests of the ledgers over a store that rolls back, among routers that survive and notice it."""
 
 from random import Random
 
@@ -17,7 +14,7 @@
     ledger_to_bytes,
 )
 from railtide.budgets.ledger_budget_source import LedgerBudgetSource
-from railtide.budgets.ledger_partition import CLOSED_S
+from railtide.budgets.ledger_partition import ERA_CLOSED_S
 from railtide.budgets.rollback import OPENINGS_KEY
 from railtide.budgets.spend_limit import ClockReading, SpendLimit
 from railtide.budgets.tests.test_ledger_budget_source import (
@@ -33,7 +30,7 @@
 
 
 async def spend(made: LedgerBudgetSource, amount: int) -> int:
-    """Return what a request of this cost has spent, 0 if it is refused."""
+    """Spend an amount; return the units spent, 0 if the request is refused."""
     try:
         reserved = await made.reserve(ACCOUNT, SETTINGS, amount, trio.current_time() + 1.0)
     except BudgetError:
@@ -52,7 +49,7 @@
 
 class TestRollback:
     async def test_units_of_the_lost_seconds_are_not_granted_again(self, autojump_clock) -> None:
-        """The router that holds them is away for most of the time that is left to it."""
+        """The router that holds them reports only shortly before the era may be opened."""
         store = MemoryStore(era=1)
         made, other = make_source(store, "i1"), make_source(store, "i2")
         async with trio.open_nursery() as nursery:
@@ -65,15 +62,15 @@
                     away.start_soon(made.run)
                     total += await spend(made, 900)
             store.roll_back(copy)
-            nursery.start_soon(run_later, made, CLOSED_S - KNOWN_S)
+            nursery.start_soon(run_later, made, ERA_CLOSED_S - KNOWN_S)
             for _ in range(100):
                 total += await spend(other, 50)
                 await trio.sleep(0.05)
             assert 900 < total <= 1000
             nursery.cancel_scope.cancel()
 
-    async def test_holding_is_said_again_at_once(self, autojump_clock) -> None:
-        """Also where the last report was a moment ago, and no other would be due."""
+    async def test_holding_is_reported_again_at_once(self, autojump_clock) -> None:
+        """Even if the last report was just made and the next one is not due."""
         store = MemoryStore(era=1)
         made = make_source(store)
         async with trio.open_nursery() as nursery:
@@ -83,12 +80,14 @@
             assert await spend(made, 100) == 100
             before = ledger_of(store).by_instance["i1"]
             store.roll_back(copy)
-            await trio.sleep(OPTIONS.report_s / 2)
+            await trio.sleep(OPTIONS.report_interval_s / 2)
             again = ledger_of(store).by_instance["i1"]
             assert (again.granted, again.spent) == (before.granted, 100)
             nursery.cancel_scope.cancel()
 
-    async def test_hand_serves_and_nothing_is_granted_for_a_time(self, autojump_clock) -> None:
+    async def test_allocation_serves_and_nothing_is_granted_until_the_era_opens(
+        self, autojump_clock
+    ) -> None:
         store = MemoryStore(era=1)
         made = make_source(store)
         async with trio.open_nursery() as nursery:
@@ -103,7 +102,7 @@
             risen_at = trio.current_time()
             granted = held(made)
             assert await spend(made, 1) == 1
-            while trio.current_time() < risen_at + CLOSED_S - 0.3:
+            while trio.current_time() < risen_at + ERA_CLOSED_S - 0.3:
                 assert await spend(made, in_hand + 50) == 0
                 assert held(made) <= granted
                 await trio.sleep(KNOWN_S / 20)
@@ -148,8 +147,8 @@
             nursery.cancel_scope.cancel()
 
 
-class TestWrittenAgain:
-    """What a router had read of others stands in the ledgers before the era is opened."""
+class TestRewrite:
+    """State of others that a router had read is written again before the era is opened."""
 
     @pytest.mark.parametrize("is_in_the_copy", [True, False])
     async def test_holding_of_a_dead_router(self, autojump_clock, is_in_the_copy: bool) -> None:
@@ -166,19 +165,19 @@
                         await spend(dying, 100)
                         copy = store.copy()
                     await spend(dying, 500)
-            await trio.sleep(OPTIONS.read_s)
+            await trio.sleep(OPTIONS.read_interval_s)
             before = ledger_of(store).by_instance["i2"]
             store.roll_back(copy)
-            await trio.sleep(CLOSED_S / 2)
+            await trio.sleep(ERA_CLOSED_S / 2)
             again = ledger_of(store)
             assert again.by_instance["i2"] == before
-            assert again.base is not None
+            assert again.origin is not None
             nursery.cancel_scope.cancel()
 
     async def test_changes_that_were_made_at_lower_offsets_meanwhile_are_read(
         self, autojump_clock
     ) -> None:
-        """Others have written as many records in the new era as there were in the former one."""
+        """Others wrote as many records in the new era as there were in the previous one."""
         store = MemoryStore(era=1)
         made = make_source(store, "i1")
         async with trio.open_nursery() as nursery:
@@ -190,19 +189,19 @@
                 await trio.sleep(KNOWN_S)
             end = store.topic(OPTIONS.topic).end
             store.roll_back(copy)
-            store.put(OPTIONS.topic, "b", ledger_to_bytes(Ledger(closed=70, opened=1)))
+            store.put(OPTIONS.topic, "b", ledger_to_bytes(Ledger(closed=70, opened_era=1)))
             while store.topic(OPTIONS.topic).end <= end:
-                store.put(OPTIONS.topic, "c", ledger_to_bytes(Ledger(closed=1, opened=1)))
+                store.put(OPTIONS.topic, "c", ledger_to_bytes(Ledger(closed=1, opened_era=1)))
             made.set_prepaid({ACCOUNT: 1000, "b": 100})
-            await trio.sleep(2 * CLOSED_S)
+            await trio.sleep(2 * ERA_CLOSED_S)
             with pytest.raises(BudgetError):
                 await made.reserve("b", SETTINGS, 40, trio.current_time() + 1.0)
             nursery.cancel_scope.cancel()
 
 
-class TestUnsureAppend:
+class TestUnconfirmedAppend:
     @pytest.mark.parametrize("is_shown", [False, True])
-    async def test_it_counts_only_if_the_next_era_shows_it(
+    async def test_it_counts_only_if_the_next_era_contains_it(
         self, autojump_clock, is_shown: bool
     ) -> None:
         store = MemoryStore(era=1)
@@ -221,7 +220,7 @@
             await trio.sleep(KNOWN_S)
             shown = ledger_of(store).by_instance.get("i1")
             assert held(made) == (shown.granted if shown else 0)
-            await trio.sleep(2 * CLOSED_S)
+            await trio.sleep(2 * ERA_CLOSED_S)
             assert await spend(made, 100) == 100
             await trio.sleep(2 * KNOWN_S)
             assert ledger_of(store).by_instance["i1"].granted == held(made)
@@ -238,7 +237,7 @@
             assert await spend(made, 100) == 0
             store.roll_back(copy)
             store.late_appends = 0
-            await trio.sleep(3 * CLOSED_S)
+            await trio.sleep(3 * ERA_CLOSED_S)
             records = store.topic(OPTIONS.topic).records
             ledgers = [ledger_from_bytes(r.value) for r in records if r.key != OPENINGS_KEY]
             assert [ledger for ledger in ledgers if committed(ledger)] == []
@@ -246,7 +245,7 @@
 
 
 class TestPeerReports:
-    async def test_reports_of_a_former_era_prove_nothing(self, autojump_clock) -> None:
+    async def test_reports_of_an_earlier_era_prove_nothing(self, autojump_clock) -> None:
         limit = SpendLimit(ClockReading("theirs", 70.0, 0.0), used=10, burst=5, pace=2)
         dead = Holding("b1", granted=100, spent=10, limit=limit)
         alive = Ledger(by_instance={"b": dead})
@@ -254,14 +253,14 @@
         used = []
         for is_risen in (False, True):
             budget = make_source(MemoryStore(era=1), boot="own")._account(ACCOUNT)
-            own_append = budget._holder.clocks.read()
+            own_append = budget._process.clocks.read()
             for ledger in (Ledger(), alive):
-                budget.take_ledger(ledger, own_append)
+                budget.apply_ledger(ledger, own_append)
             if is_risen:
-                budget.note_rise()
+                budget.on_era_rise()
             await trio.sleep(1.0)
-            budget.take_ledger(closed, own_append)
-            used.append(budget._peers.used_at_most("b1"))
+            budget.apply_ledger(closed, own_append)
+            used.append(budget._peers.max_used("b1"))
         assert used == [17, 100]
 
 
@@ -271,13 +270,13 @@
         made = make_source(store)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(made.run)
-            await trio.sleep(OPTIONS.tend_s)
+            await trio.sleep(OPTIONS.check_interval_s)
             assert await spend(made, 100) == 100
             nursery.cancel_scope.cancel()
 
 
-class TestSeries:
-    """Rollbacks in series among routers that live, with outages and lost answers."""
+class TestRepeatedRollbacks:
+    """Repeated rollbacks among surviving routers, with outages and lost answers."""
 
     @pytest.mark.parametrize("seed", range(100))
     async def test_no_unit_is_spent_twice(self, autojump_clock, seed: int) -> None:
@@ -293,7 +292,7 @@
                 for router in made:
                     callers.start_soon(self._call, router, Random(rng.random()), totals)
                 callers.start_soon(self._disturb, store, rng)
-            await trio.sleep(2 * CLOSED_S)
+            await trio.sleep(2 * ERA_CLOSED_S)
             ledger = ledger_of(store)
             nursery.cancel_scope.cancel()
         assert sum(totals) <= 1000
@@ -317,4 +316,4 @@
             await trio.sleep(rng.uniform(0.0, 1.0))
             store.roll_back(copy)
             store.down = False
-            await trio.sleep(rng.choice([0.0, 1.0, CLOSED_S + 1.0]))
+            await trio.sleep(rng.choice([0.0, 1.0, ERA_CLOSED_S + 1.0]))
--- a/railtide/budgets/tests/test_shortfalls.py
+++ b/railtide/budgets/tests/test_shortfalls.py
@@ -1,12 +1,10 @@
-"""Tests of railtide.budgets.shortfalls: units that lie idle in other hands serve who lacks them.
-
-Callers were refused while their budget had units left. The account's requests had moved to another
-router near the end of the budget; the router before held units for traffic that no longer came and
-learnt of nobody who lacked them, so it kept them until its own target had fallen by 1.4. Callers
-came back after the time they were told and were refused again. A trace of who held what at each
-refusal, on a day of losses in series: of 388 requests refused for units in other hands, 148 would
-have fitted into what lay unreserved in the ledger and all hands together; the others met units
-that requests under way had reserved.
+"""Tests of `shortfalls`: units idle at one router serve callers of another.
+
+Guards against refusals while the budget has idle units. An account's callers move to another router
+near the end of its budget. The first router does not know that units are lacked elsewhere and keeps
+them until its own target has fallen by a factor of 1.4, so callers that retry after the advertised
+time are refused again. Of 388 requests refused for units at other routers, 148 would have been
+covered by unreserved units of the ledger and all routers; the rest was reserved by open requests.
 """
 
 from dataclasses import dataclass
@@ -20,16 +18,16 @@
 from railtide.budgets.ledger import Holding, Ledger, ledger_to_bytes
 from railtide.budgets.ledger_budget_source import LedgerBudgetSource
 from railtide.budgets.shortfalls import (
-    RENEW_S,
-    SILENT_S,
+    RENEWAL_INTERVAL_S,
+    SHORTFALL_TTL_S,
     OwnShortfalls,
     PeerShortfalls,
     Shortfall,
-    first_needs,
     forget_refused,
     note_refused,
-    note_seen,
+    prior_shortfalls,
     units_refused,
+    update_seen,
 )
 from railtide.budgets.tests.test_ledger_budget_source import (
     ACCOUNT,
@@ -43,7 +41,7 @@
 
 
 async def serve(made: LedgerBudgetSource, amount: int, times: int, every_s: float) -> None:
-    """Spend an amount again and again."""
+    """Spend an amount repeatedly."""
     for _ in range(times):
         until = trio.current_time() + 1
         (await made.reserve(ACCOUNT, SETTINGS, amount, until)).settle(amount)
@@ -56,8 +54,8 @@
     return held.granted - held.spent if held else 0
 
 
-class TestRecall:
-    """Of 1,000 units 600 are spent; one router had the traffic and holds most of a half."""
+class TestReturnForOthers:
+    """Of 1,000 units 600 are spent; one router had the traffic and holds most of half the rest."""
 
     async def _two_routers(
         self, nursery: trio.Nursery, store: MemoryStore
@@ -71,9 +69,7 @@
         await serve(made[0], 10, times=20, every_s=0.2)
         return made
 
-    async def test_caller_that_comes_back_is_served_from_units_idle_elsewhere(
-        self, autojump_clock
-    ) -> None:
+    async def test_retry_is_served_from_units_idle_elsewhere(self, autojump_clock) -> None:
         store = MemoryStore()
         async with trio.open_nursery() as nursery:
             _, asker = await self._two_routers(nursery, store)
@@ -85,7 +81,7 @@
             nursery.cancel_scope.cancel()
 
     @pytest.mark.parametrize("offset_s", [0.0, 0.2, 0.4, 0.6])
-    async def test_router_without_traffic_looks_in_time_for_the_caller(
+    async def test_idle_router_returns_units_before_the_retry(
         self, autojump_clock, offset_s: float
     ) -> None:
         store = MemoryStore()
@@ -101,7 +97,7 @@
             asked.settle(200)
             nursery.cancel_scope.cancel()
 
-    async def test_units_reserved_by_requests_under_way_stay(self, autojump_clock) -> None:
+    async def test_units_reserved_by_open_requests_are_not_returned(self, autojump_clock) -> None:
         store = MemoryStore()
         async with trio.open_nursery() as nursery:
             holder, asker = await self._two_routers(nursery, store)
@@ -114,7 +110,7 @@
             reserved.settle(60)
             nursery.cancel_scope.cancel()
 
-    async def test_need_of_a_dead_process_runs_out(self, autojump_clock) -> None:
+    async def test_shortfall_of_a_dead_process_expires(self, autojump_clock) -> None:
         store = MemoryStore()
         async with trio.open_nursery() as nursery:
             holder, _ = await self._two_routers(nursery, store)
@@ -131,8 +127,8 @@
             assert in_hand(store, "i1") > held / 3
             nursery.cancel_scope.cancel()
 
-    async def test_units_are_not_passed_to_and_fro(self, autojump_clock) -> None:
-        """Both routers have traffic and one asks for more than there is: few writes a second."""
+    async def test_units_do_not_oscillate_between_routers(self, autojump_clock) -> None:
+        """Both routers have traffic and one asks for more than is left: few writes a second."""
         store = MemoryStore()
         async with trio.open_nursery() as nursery:
             holder, asker = await self._two_routers(nursery, store)
@@ -148,14 +144,14 @@
 
 @dataclass
 class Shifting:
-    """An account whose callers move from one router to another near the end of its budget."""
+    """An account whose callers move to another router near the end of its budget."""
 
     refused: int = 0
     given_up: int = 0
     served: int = 0
 
     async def call(self, made: LedgerBudgetSource, amount: int) -> None:
-        """Be a caller that comes back once after the time that it is told."""
+        """Send a request, and retry it once after the advertised time if it is refused."""
         for attempt in range(2):
             try:
                 until = trio.current_time() + 1
@@ -173,7 +169,7 @@
             return
 
     async def play(self, rng: Random) -> None:
-        """Have ten calls a second, one in four nine times as large; all move after eight."""
+        """Send ten requests a second, one in four nine times as large; all move after 8 s."""
         store = MemoryStore()
         store.delay_s = 0.004
         made = [make_source(store, name, routers=2, boot=name) for name in ("i1", "i2")]
@@ -191,22 +187,26 @@
             nursery.cancel_scope.cancel()
 
 
-class TestNeed:
+class TestShortfall:
     def test_counts_as_long_as_it_is_renewed(self) -> None:
         seen = PeerShortfalls()
         for number in range(4):
-            note_seen(seen, {"i2-1": Shortfall(50, count=number)}, now=number * RENEW_S)
-        assert first_needs(seen, 3 * RENEW_S + SILENT_S) == 50
-        note_seen(seen, {"i2-1": Shortfall(50, count=3)}, now=3 * RENEW_S + SILENT_S)
-        assert first_needs(seen, 3 * RENEW_S + SILENT_S + 0.1) == 0
-
-    def test_is_gone_once_it_is_read_no_more(self) -> None:
+            update_seen(
+                seen, {"i2-1": Shortfall(50, count=number)}, now=number * RENEWAL_INTERVAL_S
+            )
+        assert prior_shortfalls(seen, 3 * RENEWAL_INTERVAL_S + SHORTFALL_TTL_S) == 50
+        update_seen(
+            seen, {"i2-1": Shortfall(50, count=3)}, now=3 * RENEWAL_INTERVAL_S + SHORTFALL_TTL_S
+        )
+        assert prior_shortfalls(seen, 3 * RENEWAL_INTERVAL_S + SHORTFALL_TTL_S + 0.1) == 0
+
+    def test_ends_once_it_is_no_longer_read(self) -> None:
         seen = PeerShortfalls()
-        note_seen(seen, {"i2-1": Shortfall(50, count=1)}, now=0.0)
-        note_seen(seen, {}, now=0.1)
-        assert first_needs(seen, now=0.1) == 0
+        update_seen(seen, {"i2-1": Shortfall(50, count=1)}, now=0.0)
+        update_seen(seen, {}, now=0.1)
+        assert prior_shortfalls(seen, now=0.1) == 0
 
-    def test_of_two_that_lack_one_gives_way(self) -> None:
+    def test_smaller_shortfall_has_priority(self) -> None:
         lacks = {
             "i1-1": Shortfall(50, count=1),
             "i2-1": Shortfall(50, count=1),
@@ -215,11 +215,13 @@
         given = {}
         for reader, own in lacks.items():
             seen = PeerShortfalls()
-            note_seen(seen, {other: need for other, need in lacks.items() if other != reader}, 0.0)
-            given[reader] = first_needs(seen, 0.0, own=(own.units, reader))
+            update_seen(
+                seen, {other: need for other, need in lacks.items() if other != reader}, 0.0
+            )
+            given[reader] = prior_shortfalls(seen, 0.0, own=(own.units, reader))
         assert given == {"i1-1": 40, "i2-1": 90, "i3-1": 0}
 
-    def test_caller_that_comes_back_is_counted_once(self) -> None:
+    def test_retry_is_counted_once(self) -> None:
         own = OwnShortfalls()
         for now in (0.0, 0.6):
             note_refused(own, 30, until=now + 1.0)
@@ -230,11 +232,11 @@
         assert units_refused(own, now=1.6) == []
 
 
-class TestFragments:
-    async def test_two_routers_that_lack_do_not_both_keep_what_they_hold(
+class TestSplitRemainder:
+    async def test_of_two_routers_with_shortfalls_one_returns_its_units(
         self, autojump_clock
     ) -> None:
-        """Of 1,000 units 220 are left, half of them in two hands; callers of both ask for 180."""
+        """Of 1,000 units 220 are left, half of them at two routers; callers of both ask for 180."""
         store = MemoryStore()
         store.put(OPTIONS.topic, ACCOUNT, ledger_to_bytes(Ledger(closed=500, billed=500)))
         made = [make_source(store, name, routers=2, boot=name) for name in ("i1", "i2")]
@@ -264,28 +266,28 @@
             nursery.cancel_scope.cancel()
         assert len(served) == 1
 
-    async def test_refill_leaves_what_refused_callers_come_back_for(self, autojump_clock) -> None:
-        """A router with traffic would fill its hand from what was returned for another's caller."""
+    async def test_refill_leaves_units_for_retries(self, autojump_clock) -> None:
+        """Otherwise a router with traffic would take units returned for another router's caller."""
         store = MemoryStore()
         need = Shortfall(300, count=1)
-        lacking = Holding("i2-1", granted=1, need=need)
+        lacking = Holding("i2-1", granted=1, shortfall=need)
         store.put(OPTIONS.topic, ACCOUNT, ledger_to_bytes(Ledger(700, 700, {"i2": lacking})))
         made = make_source(store, "i1", routers=2)
         made.enable_preallocation()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(made.run)
-            await trio.sleep(SILENT_S - 0.5)
+            await trio.sleep(SHORTFALL_TTL_S - 0.5)
             await serve(made, 10, times=6, every_s=0.05)
             assert in_hand(store, "i1") <= 20
-            await trio.sleep(SILENT_S)
+            await trio.sleep(SHORTFALL_TTL_S)
             assert in_hand(store, "i1") > 20
             nursery.cancel_scope.cancel()
 
 
 class TestLoad:
-    async def test_callers_that_moved_find_the_units_left_behind(self, autojump_clock) -> None:
-        """Of 3,200 calls of twenty seeds 219 are refused without needs and 77 with them; 89 and 14
-        of these twice."""
+    async def test_moved_callers_get_the_units_of_the_first_router(self, autojump_clock) -> None:
+        """Of 3,200 requests in twenty seeds, 219 are refused without shortfall reports and 77 with
+        them, 89 and 14 of these twice."""
         load = Shifting()
         for seed in range(20):
             await load.play(Random(seed))
