--- a/railtide/budgets/account_budget.py
+++ b/railtide/budgets/account_budget.py
@@ -278,12 +278,12 @@
         self._ledger_read_at = trio.current_time()
         self.loaded = True
         others = ledger.by_instance.items()
-        needs = {
+        peer_shortfalls = {
             held.incarnation: held.shortfall
             for instance, held in others
             if held.shortfall and instance != self._process.instance
         }
-        self._shortfalls.update_seen(needs, self._ledger_read_at)
+        self._shortfalls.update_seen(peer_shortfalls, self._ledger_read_at)
         self._log_ledger()
 
     def on_era_rise(self) -> None:
@@ -396,7 +396,7 @@
             self.billed_requests,
             address=self._process.address,
             era=self._partition.era,
-            read_offset=self._partition.read_end if self._partition.era else 0,
+            read_offset=self._partition.own_read_offset if self._partition.era else 0,
         )
 
     def _returnable(self, ledger: Ledger) -> dict[str, int]:
--- a/railtide/budgets/ledger_budget_source.py
+++ b/railtide/budgets/ledger_budget_source.py
@@ -151,7 +151,7 @@
 
     def read_offsets(self) -> tuple[int, ...]:
         """Return the offset up to which each partition was read, in the store's era."""
-        return tuple(partition.read_end for partition in self.partitions)
+        return tuple(partition.own_read_offset for partition in self.partitions)
 
     def recheck_waiting(self) -> None:
         """Make requests that wait until others have read a report try again."""
--- a/railtide/budgets/ledger_partition.py
+++ b/railtide/budgets/ledger_partition.py
@@ -196,7 +196,7 @@
         return self._process.peers.min_read_offset(self._index, self._read_offset_by_process)
 
     @property
-    def read_end(self) -> int:
+    def own_read_offset(self) -> int:
         """The offset up to which this process has read the partition in the store's era."""
         return 0 if self._is_era_outdated or not self.loaded else self._end
 
--- a/railtide/budgets/log_budget_source.py
+++ b/railtide/budgets/log_budget_source.py
@@ -254,11 +254,11 @@
         self, account: str, settings: AccountSettings, need: int, until: float
     ) -> bool:
         """Ask for a grant, or wait for a pending one; return whether it was refused."""
-        account_state = self._account(account)
-        if account_state.grant_pending:
+        state = self._account(account)
+        if state.grant_pending:
             with trio.move_on_at(until):
-                await account_state.changed.wait()
-            return account_state.left is not None and account_state.left < need
+                await state.changed.wait()
+            return state.left is not None and state.left < need
         ticket = self._request_grant(account, settings, need)
         if ticket is None:
             with trio.move_on_at(until):
@@ -276,23 +276,23 @@
 
     def _refill(self, account: str, settings: AccountSettings) -> None:
         """Ask for a grant ahead of need when the allocation runs low."""
-        account_state = self._account(account)
-        level = low_watermark(account_state.rate, settings.grant_horizon_s)
-        is_exhausted = account_state.left is not None and account_state.left <= 0
+        state = self._account(account)
+        level = low_watermark(state.rate, settings.grant_horizon_s)
+        is_exhausted = state.left is not None and state.left <= 0
         if (
             self.epoch.allocation(account).available < level
-            and not account_state.grant_pending
+            and not state.grant_pending
             and not is_exhausted
         ):
             self._request_grant(account, settings, 0)
 
     def _request_grant(self, account: str, settings: AccountSettings, need: int) -> Ticket | None:
-        account_state = self._account(account)
-        demand = Demand(need, account_state.rate, account_state.left, self._holders(settings))
+        state = self._account(account)
+        demand = Demand(need, state.rate, state.left, self._holders(settings))
         amount = self._sizing(settings).size(demand)
         if amount <= 0:
             return None
-        account_state.grant_pending = True
+        state.grant_pending = True
         record = Grant(account, amount, exposure_of(amount, settings.exposure_percent))
         return self.epoch.writer.submit(record)
 
@@ -301,16 +301,16 @@
         record = ticket.record
         if not isinstance(record, Grant):
             return
-        account_state = self._account(record.account)
-        account_state.grant_pending = False
-        account_state.left = ticket.verdict.available
+        state = self._account(record.account)
+        state.grant_pending = False
+        state.left = ticket.verdict.available
         if ticket.verdict.ok:
             self.grants += 1
             allocation = epoch.allocation(record.account)
             allocation.granted += record.amount
             allocation.exposure_limit = max(allocation.exposure_limit, record.exposure)
-        account_state.changed.set()
-        account_state.changed = trio.Event()
+        state.changed.set()
+        state.changed = trio.Event()
 
     # -- returning ----------------------------------------------------------------------------
 
@@ -367,8 +367,8 @@
         logger.info("holder {} was fenced; opening a new epoch", self.epoch.writer.holder)
         self.ended.append(self.epoch)
         self.epoch = self._open_epoch()
-        for account_state in self._by_account.values():
-            account_state.grant_pending = False
+        for state in self._by_account.values():
+            state.grant_pending = False
 
     def _close_ended(self) -> None:
         for epoch in list(self.ended):
@@ -387,15 +387,15 @@
         return self._by_account.setdefault(account, _Account())
 
     def _note_rate(self, account: str, amount: int) -> None:
-        account_state = self._account(account)
-        account_state.rate = self._decayed_rate(account_state) + amount / RATE_WINDOW_S
-        account_state.seen_at = trio.current_time()
+        state = self._account(account)
+        state.rate = self._decayed_rate(state) + amount / RATE_WINDOW_S
+        state.seen_at = trio.current_time()
 
     @staticmethod
-    def _decayed_rate(account_state: _Account) -> float:
+    def _decayed_rate(state: _Account) -> float:
         """Return the exponentially weighted rate decayed to now, units a second."""
-        elapsed = trio.current_time() - account_state.seen_at
-        return account_state.rate * math.exp(-elapsed / RATE_WINDOW_S)
+        elapsed = trio.current_time() - state.seen_at
+        return state.rate * math.exp(-elapsed / RATE_WINDOW_S)
 
 
 def _adaptive(settings: AccountSettings) -> GrantSizing:
--- a/railtide/budgets/partition_view.py
+++ b/railtide/budgets/partition_view.py
@@ -18,7 +18,7 @@
 
     @property
     @abstractmethod
-    def read_end(self) -> int:
+    def own_read_offset(self) -> int:
         """The offset up to which this process has read the partition in the store's era."""
 
     @abstractmethod
@@ -43,8 +43,8 @@
         return 0
 
     @property
-    def read_end(self) -> int:
-        """See `PartitionView.read_end`."""
+    def own_read_offset(self) -> int:
+        """See `PartitionView.own_read_offset`."""
         return 0
 
     def is_open(self) -> bool:
--- a/railtide/budgets/tests/test_account_log.py
+++ b/railtide/budgets/tests/test_account_log.py
@@ -51,7 +51,7 @@
 
 
 def make_source(store: MemoryStore, counters: Counters, life: str = "2", prepaid: int = 1000):
-    made = LedgerBudgetSource(
+    source = LedgerBudgetSource(
         store,
         "i1",
         f"i1-{life}",
@@ -61,8 +61,8 @@
         FixedClocks("boot"),
         counters,
     )
-    made.set_prepaid({ACCOUNT: prepaid})
-    return made
+    source.set_prepaid({ACCOUNT: prepaid})
+    return source
 
 
 class TestState:
@@ -182,8 +182,8 @@
         """Of 900 units, a burst of 100 and two seconds at a pace of 20 can have been spent."""
         store, counters = MemoryStore(), Counters()
         now = trio.current_time()
-        made = ClockReading(boot, BOOT_S + now - 2.0, 1e9 + now - 2.0)
-        limit = SpendLimit(made, used=100, burst=100, pace=20)
+        made_at = ClockReading(boot, BOOT_S + now - 2.0, 1e9 + now - 2.0)
+        limit = SpendLimit(made_at, used=100, burst=100, pace=20)
         dead = Holding("i1-1", granted=1000, spent=100, limit=limit)
         store.put(OPTIONS.topic, ACCOUNT, ledger_to_bytes(Ledger(by_instance={"i1": dead})))
         async with trio.open_nursery() as nursery:
@@ -204,12 +204,12 @@
     ) -> None:
         store, counters = MemoryStore(), Counters()
         store.put(OPTIONS.topic, ACCOUNT, ledger_to_bytes(Ledger(closed=980, billed=300)))
-        made = make_source(store, counters)
+        source = make_source(store, counters)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(made.run)
+            nursery.start_soon(source.run)
             await trio.sleep(1)
             with pytest.raises(BudgetError):
-                await made.reserve(ACCOUNT, SETTINGS, 50, trio.current_time() + 9)
+                await source.reserve(ACCOUNT, SETTINGS, 50, trio.current_time() + 9)
             nursery.cancel_scope.cancel()
         (line,) = of(lines, "budget-refused")
         assert (line["cause"], line["written_off"]) == ("written-off", 680)
@@ -220,11 +220,11 @@
     ) -> None:
         store = MemoryStore()
         store.down = True
-        made = make_source(store, Counters())
+        source = make_source(store, Counters())
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(made.run)
+            nursery.start_soon(source.run)
             with pytest.raises(BudgetError):
-                await made.reserve(ACCOUNT, SETTINGS, 50, trio.current_time() + 9)
+                await source.reserve(ACCOUNT, SETTINGS, 50, trio.current_time() + 9)
             nursery.cancel_scope.cancel()
         (line,) = of(lines, "budget-refused")
         assert line["cause"] == "ledger-unread"
@@ -233,16 +233,16 @@
         self, autojump_clock, lines: list[dict]
     ) -> None:
         store = MemoryStore()
-        made = make_source(store, Counters())
+        source = make_source(store, Counters())
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(made.run)
+            nursery.start_soon(source.run)
             await trio.sleep(1)
-            (await made.reserve(ACCOUNT, SETTINGS, 0, 9.0)).settle(0)
-            (await made.reserve(ACCOUNT, SETTINGS, 50, trio.current_time() + 9)).settle(0)
+            (await source.reserve(ACCOUNT, SETTINGS, 0, 9.0)).settle(0)
+            (await source.reserve(ACCOUNT, SETTINGS, 50, trio.current_time() + 9)).settle(0)
             assert of(lines, "serving") == []
             await trio.sleep(1)
             for _ in range(2):
-                (await made.reserve(ACCOUNT, SETTINGS, 50, trio.current_time() + 9)).settle(40)
+                (await source.reserve(ACCOUNT, SETTINGS, 50, trio.current_time() + 9)).settle(40)
             nursery.cancel_scope.cancel()
         (line,) = of(lines, "serving")
         assert line["account"] == ACCOUNT
--- a/railtide/budgets/tests/test_allocation_sizing.py
+++ b/railtide/budgets/tests/test_allocation_sizing.py
@@ -26,28 +26,28 @@
 
 def traffic(every_s: float, amount: int, seconds: float) -> tuple[Traffic, float]:
     """Return steady traffic and the time of its last request."""
-    made = Traffic()
+    stats = Traffic()
     now = 0.0
     while now + every_s <= seconds:
         now += every_s
-        record_request(made, amount, now, OPTIONS.rate_window_s)
-    return made, now
+        record_request(stats, amount, now, OPTIONS.rate_window_s)
+    return stats, now
 
 
 class TestRate:
     @pytest.mark.parametrize("seconds", [3.0, 8.0, 60.0])
     def test_is_near_the_truth_from_the_first_seconds_on(self, seconds: float) -> None:
-        made, now = traffic(0.25, 100, seconds)
-        assert rate_at(made, now, OPTIONS.rate_window_s) == pytest.approx(400, rel=0.2)
+        stats, now = traffic(0.25, 100, seconds)
+        assert rate_at(stats, now, OPTIONS.rate_window_s) == pytest.approx(400, rel=0.2)
 
     def test_single_early_request_gives_no_high_rate(self) -> None:
-        made = Traffic()
-        record_request(made, 8000, 1.0, OPTIONS.rate_window_s)
-        assert rate_at(made, 1.0, OPTIONS.rate_window_s) < 8000 / 2
+        stats = Traffic()
+        record_request(stats, 8000, 1.0, OPTIONS.rate_window_s)
+        assert rate_at(stats, 1.0, OPTIONS.rate_window_s) < 8000 / 2
 
     def test_fades_when_requests_end(self) -> None:
-        made, now = traffic(0.25, 100, 60.0)
-        assert rate_at(made, now + 24, OPTIONS.rate_window_s) < 25
+        stats, now = traffic(0.25, 100, 60.0)
+        assert rate_at(stats, now + 24, OPTIONS.rate_window_s) < 25
 
 
 class TestStddevMargin:
@@ -64,11 +64,11 @@
 
     @staticmethod
     def _is_served_whole(rng: Random, options: LedgerOptions) -> bool:
-        made, now = Traffic(), 0.0
+        stats, now = Traffic(), 0.0
         while now < 60:
             now += rng.expovariate(1.0)
-            record_request(made, rng.choice([1000, 1000, 1000, 9000]), now, options.rate_window_s)
-        left = target_units(made, 10**7, 3, now, options)
+            record_request(stats, rng.choice([1000, 1000, 1000, 9000]), now, options.rate_window_s)
+        left = target_units(stats, 10**7, 3, now, options)
         end = now + options.horizon_s
         while (now := now + rng.expovariate(1.0)) < end:
             left -= rng.choice([1000, 1000, 1000, 9000])
@@ -77,20 +77,20 @@
 
 class TestTarget:
     def test_covers_the_horizon_of_steady_traffic(self) -> None:
-        made, now = traffic(0.25, 100, 60.0)
-        assert target_units(made, LEFT, 3, now, OPTIONS) == pytest.approx(4000, rel=0.1)
+        stats, now = traffic(0.25, 100, 60.0)
+        assert target_units(stats, LEFT, 3, now, OPTIONS) == pytest.approx(4000, rel=0.1)
 
     def test_unlisted_router_in_steady_use_covers_its_traffic(self) -> None:
-        made, now = traffic(0.25, 100, 60.0)
-        assert target_units(made, LEFT, 0, now, OPTIONS) == pytest.approx(4000, rel=0.1)
+        stats, now = traffic(0.25, 100, 60.0)
+        assert target_units(stats, LEFT, 0, now, OPTIONS) == pytest.approx(4000, rel=0.1)
 
     def test_unlisted_router_holds_nothing_for_stray_requests(self) -> None:
-        made, now = traffic(6.0, 100, 60.0)
-        assert target_units(made, LEFT, 0, now, OPTIONS) == 0
+        stats, now = traffic(6.0, 100, 60.0)
+        assert target_units(stats, LEFT, 0, now, OPTIONS) == 0
 
     def test_listed_router_preallocates_its_even_share(self) -> None:
         assert target_units(Traffic(), LEFT, 4, 0.0, OPTIONS) == LEFT * 0.1 / 4
 
     def test_one_router_may_hold_the_whole_preallocation(self) -> None:
-        made, now = traffic(0.01, 1000, 60.0)
-        assert target_units(made, LEFT, 3, now, OPTIONS) == LEFT * 0.5
+        stats, now = traffic(0.01, 1000, 60.0)
+        assert target_units(stats, LEFT, 3, now, OPTIONS) == LEFT * 0.5
--- a/railtide/budgets/tests/test_idle_accounts.py
+++ b/railtide/budgets/tests/test_idle_accounts.py
@@ -23,34 +23,40 @@
         "i1", "i1-1", lambda: routers, LedgerOptions(), NoClocks(), NO_CLOCK_READING
     )
     process.preallocating = preallocating
-    made = AccountBudget("a", process, lambda: None, lambda: 10.0)
-    made.set_prepaid(1000)
-    made.apply_ledger(ledger)
-    return made
+    budget = AccountBudget("a", process, lambda: None, lambda: 10.0)
+    budget.set_prepaid(1000)
+    budget.apply_ledger(ledger)
+    return budget
 
 
 class TestUnusedAccount:
     @pytest.mark.parametrize("ledger", LEDGERS.values(), ids=LEDGERS.keys())
     async def test_full_check_finds_nothing_due(self, autojump_clock, ledger: Ledger) -> None:
         """The shortcut for unused accounts agrees with the full check that it skips."""
-        made = new_budget(0, ledger)
-        assert not made.is_due()
-        assert made._is_unused()
-        assert not made._wants_units() and not made._is_report_due() and made._excess_units() == 0
-        assert not made._returnable(ledger) and not made._is_shortfall_report_due(made._shortfall())
+        budget = new_budget(0, ledger)
+        assert not budget.is_due()
+        assert budget._is_unused()
+        assert (
+            not budget._wants_units()
+            and not budget._is_report_due()
+            and budget._excess_units() == 0
+        )
+        assert not budget._returnable(ledger) and not budget._is_shortfall_report_due(
+            budget._shortfall()
+        )
 
     async def test_listed_router_preallocates_for_new_callers(self, autojump_clock) -> None:
         assert new_budget(2, LEDGERS["nobody holds any"]).is_due()
 
     async def test_account_with_a_request_is_in_use(self, autojump_clock) -> None:
-        made = new_budget(0, LEDGERS["others hold some"])
-        made.count_request(100)
-        assert not made._is_unused()
+        budget = new_budget(0, LEDGERS["others hold some"])
+        budget.count_request(100)
+        assert not budget._is_unused()
 
     async def test_account_with_local_units_is_in_use(self, autojump_clock) -> None:
-        made = new_budget(0, LEDGERS["nobody holds any"])
-        made.allocation.granted = 50
-        assert made.is_due()
+        budget = new_budget(0, LEDGERS["nobody holds any"])
+        budget.allocation.granted = 50
+        assert budget.is_due()
 
     async def test_account_with_an_unproved_holding_is_in_use(self, autojump_clock) -> None:
         dead = Holding("i2-1", 300, 20, 2, LIMIT)
--- a/railtide/budgets/tests/test_large_partition.py
+++ b/railtide/budgets/tests/test_large_partition.py
@@ -41,9 +41,9 @@
 
 
 def make_source(store: MemoryStore) -> LedgerBudgetSource:
-    made = LedgerBudgetSource(store, "new", "new-1", lambda: 2, OPTIONS, address="10.0.0.2:8080")
-    made.set_prepaid({f"account-{number}": 1_000_000 for number in range(ACCOUNTS)})
-    return made
+    source = LedgerBudgetSource(store, "new", "new-1", lambda: 2, OPTIONS, address="10.0.0.2:8080")
+    source.set_prepaid({f"account-{number}": 1_000_000 for number in range(ACCOUNTS)})
+    return source
 
 
 class TestLargePartition:
@@ -53,11 +53,11 @@
 
     async def test_allocations_are_filled_in_several_calls(self, autojump_clock) -> None:
         """A single call for all was refused, and each retry was the same."""
-        made = make_source(store_of_a_fleet())
-        made.enable_preallocation()
-        (part,) = made.partitions
+        source = make_source(store_of_a_fleet())
+        source.enable_preallocation()
+        (part,) = source.partitions
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(made.run)
+            nursery.start_soon(source.run)
             await trio.sleep(2)
             filled = sum(known.allocation.granted > 0 for known in part.budget_by_account.values())
             assert filled == ACCOUNTS
@@ -65,11 +65,11 @@
 
     async def test_ledgers_are_read_while_changes_stay_due(self, autojump_clock) -> None:
         store = store_of_a_fleet()
-        made = make_source(store)
-        made.enable_preallocation()
-        (part,) = made.partitions
+        source = make_source(store)
+        source.enable_preallocation()
+        (part,) = source.partitions
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(made.run)
+            nursery.start_soon(source.run)
             store.delay_s = 0.5
             for _ in range(5):
                 await trio.sleep(5)
@@ -79,16 +79,16 @@
     async def test_who_waits_goes_first(self, autojump_clock) -> None:
         """All hands are due at once; a call takes 0.1 s, and 24 of them hold all ledgers."""
         store = store_of_a_fleet()
-        made = make_source(store)
+        source = make_source(store)
         async with trio.open_nursery() as nursery:
             store.delay_s = 0.1
-            nursery.start_soon(made.run)
+            nursery.start_soon(source.run)
             name = f"account-{ACCOUNTS - 1}"
             settings = AccountSettings(budget_wait_s=5.0)
             await trio.sleep(12)
-            made.enable_preallocation()
+            source.enable_preallocation()
             began = trio.current_time()
-            (await made.reserve(name, settings, 500_000, began + 9)).settle(500)
+            (await source.reserve(name, settings, 500_000, began + 9)).settle(500)
             assert trio.current_time() - began < 0.45
             nursery.cancel_scope.cancel()
 
@@ -97,12 +97,12 @@
     ) -> None:
         """Forty accounts have traffic; to report it takes three calls, and is due by each."""
         store = store_of_a_fleet()
-        made = make_source(store)
-        made.enable_preallocation()
-        (part,) = made.partitions
+        source = make_source(store)
+        source.enable_preallocation()
+        (part,) = source.partitions
         settings = AccountSettings(budget_wait_s=0.1)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(made.run)
+            nursery.start_soon(source.run)
             await trio.sleep(2)
             store.delay_s = 0.5
             for _ in range(100):
@@ -110,7 +110,7 @@
                 for number in range(40):
                     with suppress(BudgetUnavailable):
                         until = trio.current_time() + 0.1
-                        (await made.reserve(f"account-{number}", settings, 50, until)).settle(50)
+                        (await source.reserve(f"account-{number}", settings, 50, until)).settle(50)
             grown = [known.allocation.granted for known in part.budget_by_account.values()]
             assert min(grown) > 15_000
             nursery.cancel_scope.cancel()
@@ -155,14 +155,14 @@
         """Reading all 400 ledgers takes 5.6 s, within which others always append: no
         compare-and-swap after such a read ever succeeded."""
         store = store_of_a_fleet(NarrowStore())
-        made = make_source(store)
+        source = make_source(store)
         settings = AccountSettings(budget_wait_s=5.0)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(made.run)
+            nursery.start_soon(source.run)
             nursery.start_soon(store.change, "other", 0.25)
             await trio.sleep(20)
             began = trio.current_time()
-            (await made.reserve("account-5", settings, 500, began + 9)).settle(500)
+            (await source.reserve("account-5", settings, 500, began + 9)).settle(500)
             assert trio.current_time() - began < 1
             nursery.cancel_scope.cancel()
 
@@ -171,9 +171,9 @@
         store = NarrowStore()
         value = ledger_to_bytes(ledger_of_a_fleet())
         store.put(OPTIONS.topic, "account-0", value)
-        made = make_source(store)
+        source = make_source(store)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(made.run)
+            nursery.start_soon(source.run)
             nursery.start_soon(store.change, "account-1", 0.002)
             await trio.sleep(30)
             assert store.bytes_read < 150 * len(value)
@@ -181,10 +181,10 @@
 
     async def test_newest_are_read_if_history_expired(self, autojump_clock) -> None:
         store = store_of_a_fleet(NarrowStore())
-        made = make_source(store)
-        (part,) = made.partitions
+        source = make_source(store)
+        (part,) = source.partitions
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(made.run)
+            nursery.start_soon(source.run)
             await trio.sleep(20)
             changed = Ledger(closed=1_000_000)
             store.put(OPTIONS.topic, "account-7", ledger_to_bytes(changed))
--- a/railtide/budgets/tests/test_ledger_budget_source.py
+++ b/railtide/budgets/tests/test_ledger_budget_source.py
@@ -45,7 +45,7 @@
 def make_source_with(
     store: MemoryStore, name: str, life: str, routers: int, clocks: Clocks, address: str = ""
 ):
-    made = LedgerBudgetSource(
+    source = LedgerBudgetSource(
         store,
         name,
         f"{name}-{life}",
@@ -55,8 +55,8 @@
         clocks,
         address=address or f"{name}:1",
     )
-    made.set_prepaid({ACCOUNT: 1000})
-    return made
+    source.set_prepaid({ACCOUNT: 1000})
+    return source
 
 
 def ledger_of(store: MemoryStore) -> Ledger:
@@ -67,28 +67,28 @@
 class TestReserve:
     async def test_grant_covers_later_requests_without_the_store(self, autojump_clock) -> None:
         store = MemoryStore()
-        made = make_source(store)
-        made.enable_preallocation()
+        source = make_source(store)
+        source.enable_preallocation()
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(made.run)
-            (await made.reserve(ACCOUNT, SETTINGS, 50, trio.current_time() + 9)).settle(40)
+            nursery.start_soon(source.run)
+            (await source.reserve(ACCOUNT, SETTINGS, 50, trio.current_time() + 9)).settle(40)
             await trio.sleep(2)
             store.down = True
             await trio.sleep(2)
-            (await made.reserve(ACCOUNT, SETTINGS, 50, trio.current_time() + 9)).settle(40)
+            (await source.reserve(ACCOUNT, SETTINGS, 50, trio.current_time() + 9)).settle(40)
             nursery.cancel_scope.cancel()
 
     async def test_unreachable_store_refuses_at_once(self, autojump_clock) -> None:
         store = MemoryStore()
-        made = make_source(store)
+        source = make_source(store)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(made.run)
+            nursery.start_soon(source.run)
             await trio.sleep(1)
             store.down = True
             await trio.sleep(3)
             began = trio.current_time()
             with pytest.raises(BudgetUnavailable) as refused:
-                await made.reserve(ACCOUNT, SETTINGS, 50, trio.current_time() + 9)
+                await source.reserve(ACCOUNT, SETTINGS, 50, trio.current_time() + 9)
             assert trio.current_time() == began
             assert OPTIONS.horizon_s - 3 <= refused.value.retry_after <= OPTIONS.horizon_s * 1.25
             nursery.cancel_scope.cancel()
@@ -96,9 +96,9 @@
     async def test_retry_after_follows_observed_outages(self, autojump_clock) -> None:
         """After five outages of 4 s, Retry-After early in the sixth points to about its end."""
         store = MemoryStore()
-        made = make_source(store)
+        source = make_source(store)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(made.run)
+            nursery.start_soon(source.run)
             for _ in range(5):
                 await trio.sleep(2)
                 store.down = True
@@ -109,7 +109,7 @@
             lost_at = trio.current_time()
             await trio.sleep(1.5)
             with pytest.raises(BudgetUnavailable) as refused:
-                await made.reserve(ACCOUNT, SETTINGS, 50, trio.current_time() + 9)
+                await source.reserve(ACCOUNT, SETTINGS, 50, trio.current_time() + 9)
             back_at = trio.current_time() + refused.value.retry_after
             assert lost_at + 3.5 <= back_at <= lost_at + 8
             nursery.cancel_scope.cancel()
@@ -118,14 +118,14 @@
         store = MemoryStore()
         spent = Ledger(by_instance={"i2": Holding("i2-1", granted=1000, spent=990)})
         store.put(OPTIONS.topic, ACCOUNT, ledger_to_bytes(spent))
-        made = make_source(store, routers=0)
+        source = make_source(store, routers=0)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(made.run)
+            nursery.start_soon(source.run)
             await trio.sleep(1)
             returned = Ledger(by_instance={"i2": Holding("i2-1", granted=100, spent=100)})
             store.put(OPTIONS.topic, ACCOUNT, ledger_to_bytes(returned))
             await trio.sleep(OPTIONS.idle_read_interval_s / 2)
-            (await made.reserve(ACCOUNT, SETTINGS, 50, trio.current_time() + 9)).settle(50)
+            (await source.reserve(ACCOUNT, SETTINGS, 50, trio.current_time() + 9)).settle(50)
             nursery.cancel_scope.cancel()
 
     async def test_exhausted_budget_differs_from_one_allocated_elsewhere(
@@ -134,16 +134,16 @@
         store = MemoryStore()
         other = Ledger(by_instance={"i2": Holding("i2-1", granted=1000, spent=300)})
         store.put(OPTIONS.topic, ACCOUNT, ledger_to_bytes(other))
-        made = make_source(store)
+        source = make_source(store)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(made.run)
+            nursery.start_soon(source.run)
             with pytest.raises(BudgetUnavailable):
-                await made.reserve(ACCOUNT, SETTINGS, 50, trio.current_time() + 9)
+                await source.reserve(ACCOUNT, SETTINGS, 50, trio.current_time() + 9)
             spent = Ledger(by_instance={"i2": Holding("i2-1", granted=1000, spent=990)})
             store.put(OPTIONS.topic, ACCOUNT, ledger_to_bytes(spent))
             await trio.sleep(2)
             with pytest.raises(BudgetExhausted):
-                await made.reserve(ACCOUNT, SETTINGS, 50, trio.current_time() + 9)
+                await source.reserve(ACCOUNT, SETTINGS, 50, trio.current_time() + 9)
             nursery.cancel_scope.cancel()
 
     async def test_partition_that_is_down_refuses_its_own_accounts_only(
@@ -151,35 +151,35 @@
     ) -> None:
         store = MemoryStore()
         options = LedgerOptions(partitions=2)
-        made = LedgerBudgetSource(store, "i1", "i1-1", lambda: 1, options)
+        source = LedgerBudgetSource(store, "i1", "i1-1", lambda: 1, options)
         names = {partition_of(name, 2): name for name in "abcdefgh"}
-        made.set_prepaid(dict.fromkeys(names.values(), 1000))
+        source.set_prepaid(dict.fromkeys(names.values(), 1000))
         store.down_partitions = {1}
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(made.run)
+            nursery.start_soon(source.run)
             await trio.sleep(1)
-            assert made.ready
-            await made.reserve(names[0], SETTINGS, 50, trio.current_time() + 9)
+            assert source.ready
+            await source.reserve(names[0], SETTINGS, 50, trio.current_time() + 9)
             with pytest.raises(BudgetUnavailable):
-                await made.reserve(names[1], SETTINGS, 50, trio.current_time() + 9)
+                await source.reserve(names[1], SETTINGS, 50, trio.current_time() + 9)
             store.down_partitions = set()
             await trio.sleep(1)
-            await made.reserve(names[1], SETTINGS, 50, trio.current_time() + 9)
+            await source.reserve(names[1], SETTINGS, 50, trio.current_time() + 9)
             nursery.cancel_scope.cancel()
 
     async def test_request_without_cost_needs_no_budget(self, autojump_clock) -> None:
-        made = make_source(MemoryStore())
-        assert (await made.reserve(ACCOUNT, SETTINGS, 0, 9.0)).amount == 0
+        source = make_source(MemoryStore())
+        assert (await source.reserve(ACCOUNT, SETTINGS, 0, 9.0)).amount == 0
 
 
 class TestLedgers:
     async def test_lost_answer_is_resolved_by_reading(self, autojump_clock) -> None:
         store = MemoryStore()
-        made = make_source(store)
+        source = make_source(store)
         store.lose_answers = 1
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(made.run)
-            await made.reserve(ACCOUNT, SETTINGS, 50, trio.current_time() + 9)
+            nursery.start_soon(source.run)
+            await source.reserve(ACCOUNT, SETTINGS, 50, trio.current_time() + 9)
             nursery.cancel_scope.cancel()
         assert committed(ledger_of(store)) == 50
 
@@ -187,14 +187,14 @@
         self, autojump_clock
     ) -> None:
         store = MemoryStore()
-        made = make_source(store)
+        source = make_source(store)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(made.run)
+            nursery.start_soon(source.run)
             await trio.sleep(0.1)
             store.delay_s, store.lose_answers = 0.01, 1
-            nursery.start_soon(made.reserve, ACCOUNT, SETTINGS, 50, trio.current_time() + 9)
+            nursery.start_soon(source.reserve, ACCOUNT, SETTINGS, 50, trio.current_time() + 9)
             await trio.sleep(0.015)
-            nursery.start_soon(made.reserve, ACCOUNT, SETTINGS, 10, trio.current_time() + 9)
+            nursery.start_soon(source.reserve, ACCOUNT, SETTINGS, 10, trio.current_time() + 9)
             await trio.sleep(0.01)
             others = ledger_of(store)
             assert others.by_instance["i1"].granted == 50
@@ -207,11 +207,11 @@
 
     async def test_late_append_is_not_counted_twice(self, autojump_clock) -> None:
         store = MemoryStore()
-        made = make_source(store)
+        source = make_source(store)
         store.late_appends = 1
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(made.run)
-            await made.reserve(ACCOUNT, SETTINGS, 50, trio.current_time() + 9)
+            nursery.start_soon(source.run)
+            await source.reserve(ACCOUNT, SETTINGS, 50, trio.current_time() + 9)
             store.do_late()
             await trio.sleep(2)
             nursery.cancel_scope.cancel()
@@ -220,53 +220,53 @@
     async def test_new_process_writes_off_its_predecessors_holding(self, autojump_clock) -> None:
         store = MemoryStore()
         for life, expected in (("1", 50), ("2", 110)):
-            made = make_source(store, life=life)
+            source = make_source(store, life=life)
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(made.run)
-                await made.reserve(ACCOUNT, SETTINGS, int(life) * 10 + 40, 9.0)
+                nursery.start_soon(source.run)
+                await source.reserve(ACCOUNT, SETTINGS, int(life) * 10 + 40, 9.0)
                 nursery.cancel_scope.cancel()
             assert committed(ledger_of(store)) == expected
 
     async def test_shutdown_gives_back_all_but_what_was_spent(self, autojump_clock) -> None:
         store = MemoryStore()
-        made = make_source(store)
-        made.enable_preallocation()
+        source = make_source(store)
+        source.enable_preallocation()
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(made.run)
-            (await made.reserve(ACCOUNT, SETTINGS, 50, trio.current_time() + 9)).settle(30)
+            nursery.start_soon(source.run)
+            (await source.reserve(ACCOUNT, SETTINGS, 50, trio.current_time() + 9)).settle(30)
             await trio.sleep(2)
             assert committed(ledger_of(store)) > 30
-            await made.return_all()
+            await source.return_all()
             assert committed(ledger_of(store)) == 30
             nursery.cancel_scope.cancel()
 
     async def test_lower_budget_returns_idle_units(self, autojump_clock) -> None:
         store = MemoryStore()
-        made = make_source(store)
-        made.enable_preallocation()
+        source = make_source(store)
+        source.enable_preallocation()
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(made.run)
-            (await made.reserve(ACCOUNT, SETTINGS, 200, trio.current_time() + 9)).settle(200)
+            nursery.start_soon(source.run)
+            (await source.reserve(ACCOUNT, SETTINGS, 200, trio.current_time() + 9)).settle(200)
             await trio.sleep(2)
-            made.set_prepaid({ACCOUNT: 100})
+            source.set_prepaid({ACCOUNT: 100})
             with pytest.raises(BudgetError):
-                await made.reserve(ACCOUNT, SETTINGS, 10, trio.current_time() + 9)
+                await source.reserve(ACCOUNT, SETTINGS, 10, trio.current_time() + 9)
             await trio.sleep(2)
             assert committed(ledger_of(store)) == 200
             nursery.cancel_scope.cancel()
 
     async def test_expired_history_is_read_from_the_newest(self, autojump_clock) -> None:
         store = MemoryStore()
-        made = make_source(store)
+        source = make_source(store)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(made.run)
-            await made.reserve(ACCOUNT, SETTINGS, 10, trio.current_time() + 9)
+            nursery.start_soon(source.run)
+            await source.reserve(ACCOUNT, SETTINGS, 10, trio.current_time() + 9)
             other = ledger_of(store)
             other.by_instance["i2"] = Holding("i2-1", granted=900)
             store.put(OPTIONS.topic, ACCOUNT, ledger_to_bytes(other))
             store.topic(OPTIONS.topic).forget()
             with pytest.raises(BudgetUnavailable):
-                await made.reserve(ACCOUNT, SETTINGS, 500, trio.current_time() + 9)
+                await source.reserve(ACCOUNT, SETTINGS, 500, trio.current_time() + 9)
             nursery.cancel_scope.cancel()
         assert committed(ledger_of(store)) <= 1000
 
@@ -275,27 +275,27 @@
     ) -> None:
         store = MemoryStore()
         store.put(OPTIONS.topic, "other", b"\xc1")
-        made = make_source(store)
-        made.set_prepaid({ACCOUNT: 1000, "other": 1000})
+        source = make_source(store)
+        source.set_prepaid({ACCOUNT: 1000, "other": 1000})
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(made.run)
-            await made.reserve(ACCOUNT, SETTINGS, 10, trio.current_time() + 9)
+            nursery.start_soon(source.run)
+            await source.reserve(ACCOUNT, SETTINGS, 10, trio.current_time() + 9)
             with pytest.raises(BudgetUnavailable):
-                await made.reserve("other", SETTINGS, 10, trio.current_time() + 9)
+                await source.reserve("other", SETTINGS, 10, trio.current_time() + 9)
             nursery.cancel_scope.cancel()
 
     async def test_refused_refill_does_not_delay_a_request(self, autojump_clock) -> None:
         store = MemoryStore()
         others = Ledger(by_instance={"i2": Holding("i2-1", granted=500)})
         store.put(OPTIONS.topic, ACCOUNT, ledger_to_bytes(others))
-        made = make_source(store)
-        made.enable_preallocation()
+        source = make_source(store)
+        source.enable_preallocation()
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(made.run)
+            nursery.start_soon(source.run)
             await trio.sleep(1.01)
-            (await made.reserve(ACCOUNT, SETTINGS, 50, trio.current_time() + 9)).settle(50)
+            (await source.reserve(ACCOUNT, SETTINGS, 50, trio.current_time() + 9)).settle(50)
             began = trio.current_time()
-            await made.reserve(ACCOUNT, SETTINGS, 90, trio.current_time() + 9)
+            await source.reserve(ACCOUNT, SETTINGS, 90, trio.current_time() + 9)
             assert trio.current_time() - began < OPTIONS.read_interval_s / 10
             nursery.cancel_scope.cancel()
 
@@ -320,38 +320,38 @@
     async def test_allocation_regrows_as_slowly_as_the_outage_lasted(self, autojump_clock) -> None:
         """Power losses often follow outages: an outage of 8 s at a router of 100 units a second."""
         store = MemoryStore()
-        made = make_source(store)
-        made.set_prepaid({ACCOUNT: 20_000})
-        made.enable_preallocation()
-        in_hand = []
+        source = make_source(store)
+        source.set_prepaid({ACCOUNT: 20_000})
+        source.enable_preallocation()
+        unspent = []
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(made.run)
+            nursery.start_soon(source.run)
             for second in range(42):
                 store.down = 20 <= second < 28
                 for _ in range(5):
                     try:
                         until = trio.current_time() + 1
-                        (await made.reserve(ACCOUNT, SETTINGS, 20, until)).settle(20)
+                        (await source.reserve(ACCOUNT, SETTINGS, 20, until)).settle(20)
                     except BudgetUnavailable:
                         pass
                     await trio.sleep(0.2)
                 holding = ledger_of(store).by_instance["i1"]
-                in_hand.append(holding.granted - holding.spent)
+                unspent.append(holding.granted - holding.spent)
             nursery.cancel_scope.cancel()
-        assert in_hand[19] > 800
-        assert in_hand[30] < 0.6 * in_hand[19]
-        assert in_hand[41] > 0.7 * in_hand[19]
+        assert unspent[19] > 800
+        assert unspent[30] < 0.6 * unspent[19]
+        assert unspent[41] > 0.7 * unspent[19]
 
 
 class TestSpendLimit:
     """A router serves 100 units a second from a budget of 10,000 and is killed after 20 s."""
 
-    async def _serve(self, made: LedgerBudgetSource, seconds: float) -> int:
+    async def _serve(self, source: LedgerBudgetSource, seconds: float) -> int:
         """Reserve 20 units five times a second; return the units served."""
         served = 0
         for _ in range(round(seconds * 5)):
             try:
-                (await made.reserve(ACCOUNT, SETTINGS, 20, trio.current_time() + 1)).settle(20)
+                (await source.reserve(ACCOUNT, SETTINGS, 20, trio.current_time() + 1)).settle(20)
                 served += 20
             except BudgetUnavailable:
                 pass
@@ -363,16 +363,16 @@
         store = MemoryStore()
         spent = 0
         for life, boot in enumerate(boots):
-            made = make_source(store, life=str(life), boot=boot)
-            made.set_prepaid({ACCOUNT: 10_000})
-            made.enable_preallocation()
+            source = make_source(store, life=str(life), boot=boot)
+            source.set_prepaid({ACCOUNT: 10_000})
+            source.enable_preallocation()
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(made.run)
+                nursery.start_soon(source.run)
                 await trio.sleep(1)
                 if not life:
-                    spent = await self._serve(made, 20)
+                    spent = await self._serve(source, 20)
                     store.down = True
-                    spent += await self._serve(made, away_s)
+                    spent += await self._serve(source, away_s)
                 nursery.cancel_scope.cancel()
             store.down = False
             await trio.sleep(1)
@@ -392,48 +392,48 @@
 
     async def test_unconfirmed_report_does_not_lift_the_current_limit(self, autojump_clock) -> None:
         store = MemoryStore()
-        made = make_source(store, boot="boot")
-        made.set_prepaid({ACCOUNT: 10_000})
-        made.enable_preallocation()
+        source = make_source(store, boot="boot")
+        source.set_prepaid({ACCOUNT: 10_000})
+        source.enable_preallocation()
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(made.run)
-            await self._serve(made, 20)
+            nursery.start_soon(source.run)
+            await self._serve(source, 20)
             store.late_appends = 100
             for _ in range(2):
                 with pytest.raises(BudgetUnavailable):
-                    await made.reserve(ACCOUNT, SETTINGS, 700, trio.current_time() + 9)
+                    await source.reserve(ACCOUNT, SETTINGS, 700, trio.current_time() + 9)
             nursery.cancel_scope.cancel()
 
     async def test_limit_does_not_shorten_service_in_an_outage(self, autojump_clock) -> None:
         store = MemoryStore()
         served_by_boot = {}
         for boot in ("", "boot"):
-            made = make_source(store, name=f"i{boot}", boot=boot)
-            made.set_prepaid({ACCOUNT: 10_000})
-            made.enable_preallocation()
+            source = make_source(store, name=f"i{boot}", boot=boot)
+            source.set_prepaid({ACCOUNT: 10_000})
+            source.enable_preallocation()
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(made.run)
-                await self._serve(made, 20)
+                nursery.start_soon(source.run)
+                await self._serve(source, 20)
                 store.down = True
-                served_by_boot[boot] = await self._serve(made, 8)
+                served_by_boot[boot] = await self._serve(source, 8)
                 nursery.cancel_scope.cancel()
             store.down = False
         assert served_by_boot["boot"] >= 0.95 * served_by_boot[""]
 
     async def test_request_beyond_the_pace_gets_a_retry_after(self, autojump_clock) -> None:
         store = MemoryStore()
-        made = make_source(store, boot="boot")
-        made.set_prepaid({ACCOUNT: 10_000})
-        made.enable_preallocation()
+        source = make_source(store, boot="boot")
+        source.set_prepaid({ACCOUNT: 10_000})
+        source.enable_preallocation()
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(made.run)
-            await self._serve(made, 20)
+            nursery.start_soon(source.run)
+            await self._serve(source, 20)
             store.down = True
             await trio.sleep(1.5)
             with pytest.raises(BudgetUnavailable) as refused:
-                await made.reserve(ACCOUNT, SETTINGS, 700, trio.current_time() + 9)
+                await source.reserve(ACCOUNT, SETTINGS, 700, trio.current_time() + 9)
             await trio.sleep(refused.value.retry_after + 0.01)
-            await made.reserve(ACCOUNT, SETTINGS, 700, trio.current_time() + 9)
+            await source.reserve(ACCOUNT, SETTINGS, 700, trio.current_time() + 9)
             nursery.cancel_scope.cancel()
 
 
@@ -459,15 +459,15 @@
             self.lives += 1
             if rng.random() < 0.4:
                 clocks = self._after_power_loss(rng)
-            made = make_source_with(self.store, name, str(self.lives), 3, clocks)
+            source = make_source_with(self.store, name, str(self.lives), 3, clocks)
             if rng.random() < 0.7:
-                made.enable_preallocation()
+                source.enable_preallocation()
             with trio.move_on_after(rng.uniform(0.5, 8.0)):
                 async with trio.open_nursery() as nursery:
-                    nursery.start_soon(made.run)
+                    nursery.start_soon(source.run)
                     while True:
                         if self._has_traffic(name):
-                            nursery.start_soon(self._request, made, rng)
+                            nursery.start_soon(self._request, source, rng)
                         await trio.sleep(rng.uniform(0.0, 0.4))
 
     def _has_traffic(self, name: str) -> bool:
@@ -494,10 +494,10 @@
         boot = "boot" if rng.random() < 0.5 else f"boot-{rng.random()}"
         return FakeClocks(boot, trio.current_time() - rng.uniform(0.0, 40.0))
 
-    async def _request(self, made: LedgerBudgetSource, rng: Random) -> None:
+    async def _request(self, source: LedgerBudgetSource, rng: Random) -> None:
         amount = self._amount(rng)
         try:
-            reserved = await made.reserve(ACCOUNT, SETTINGS, amount, trio.current_time() + 1)
+            reserved = await source.reserve(ACCOUNT, SETTINGS, amount, trio.current_time() + 1)
         except BudgetError:
             self._count_shortfalls()
             return
--- a/railtide/budgets/tests/test_losses.py
+++ b/railtide/budgets/tests/test_losses.py
@@ -84,22 +84,22 @@
     async def _serve(self, name: str, idle_s: float) -> None:
         boot = f"{name}-{self._boots}"
         routers = len(self._names)
-        made = LedgerBudgetSource(
+        source = LedgerBudgetSource(
             self.store, name, boot, lambda: routers, OPTIONS, clocks=BootClocks(boot)
         )
-        made.set_prepaid({ACCOUNT: self._budget})
-        made.enable_preallocation()
+        source.set_prepaid({ACCOUNT: self._budget})
+        source.enable_preallocation()
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(made.run)
+            nursery.start_soon(source.run)
             await trio.sleep(idle_s)
             while True:
-                nursery.start_soon(self._request, made)
+                nursery.start_soon(self._request, source)
                 await trio.sleep(AMOUNT / RATE)
 
-    async def _request(self, made: LedgerBudgetSource) -> None:
+    async def _request(self, source: LedgerBudgetSource) -> None:
         self.asked += AMOUNT
         try:
-            reserved = await made.reserve(ACCOUNT, SETTINGS, AMOUNT, trio.current_time() + 1)
+            reserved = await source.reserve(ACCOUNT, SETTINGS, AMOUNT, trio.current_time() + 1)
         except BudgetError:
             return
         reserved.settle(AMOUNT)
--- a/railtide/budgets/tests/test_peer_reports.py
+++ b/railtide/budgets/tests/test_peer_reports.py
@@ -135,14 +135,14 @@
     async def serve(self, name: str, life: str, boot: str, seconds: float) -> None:
         """Run a router for a number of seconds."""
         clocks = FakeClocks(boot, trio.current_time())
-        made = make_source_with(self.store, name, life, 2, clocks)
-        made.set_prepaid({ACCOUNT: BUDGET})
-        made.enable_preallocation()
+        source = make_source_with(self.store, name, life, 2, clocks)
+        source.set_prepaid({ACCOUNT: BUDGET})
+        source.enable_preallocation()
         with trio.move_on_after(seconds):
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(made.run)
+                nursery.start_soon(source.run)
                 while True:
-                    nursery.start_soon(self._request, made.reserve)
+                    nursery.start_soon(self._request, source.reserve)
                     await trio.sleep(AMOUNT / RATE)
 
     async def _request(self, reserve: Callable) -> None:
@@ -202,16 +202,16 @@
     async def test_unconfirmed_append_proves_nothing(self, autojump_clock) -> None:
         """The other's report is made while an append of this router is not yet applied."""
         store = MemoryStore()
-        made = make_source_with(store, "i1", "1", 2, FakeClocks("own"))
+        source = make_source_with(store, "i1", "1", 2, FakeClocks("own"))
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(made.run)
-            (await made.reserve(ACCOUNT, SETTINGS, 10, trio.current_time() + 1)).settle(10)
+            nursery.start_soon(source.run)
+            (await source.reserve(ACCOUNT, SETTINGS, 10, trio.current_time() + 1)).settle(10)
             await trio.sleep(3)
             reported_at = trio.current_time()
             await trio.sleep(4)
             store.late_appends = 1_000
             with pytest.raises(BudgetError):
-                await made.reserve(ACCOUNT, SETTINGS, 20, trio.current_time() + 1)
+                await source.reserve(ACCOUNT, SETTINGS, 20, trio.current_time() + 1)
             self._put(store, Ledger(by_instance={"i2": self._dead(reported_at)}))
             store.late_appends = 0
             await trio.sleep(2)
@@ -260,14 +260,14 @@
         while True:
             self._lives += 1
             clocks = FakeClocks(f"boot-{self._lives}", trio.current_time() - rng.uniform(0, 9))
-            made = make_source_with(self.store, name, str(self._lives), 3, clocks)
-            made.enable_preallocation()
+            source = make_source_with(self.store, name, str(self._lives), 3, clocks)
+            source.enable_preallocation()
             with trio.move_on_after(rng.uniform(0.5, 6.0)):
                 async with trio.open_nursery() as nursery:
-                    nursery.start_soon(made.run)
+                    nursery.start_soon(source.run)
                     nursery.start_soon(self._set_clock, clocks)
                     while True:
-                        nursery.start_soon(self._request, made.reserve)
+                        nursery.start_soon(self._request, source.reserve)
                         await trio.sleep(rng.uniform(0.0, 0.2))
             await trio.sleep(rng.uniform(0.0, 1.0))
 
--- a/railtide/budgets/tests/test_report_identity.py
+++ b/railtide/budgets/tests/test_report_identity.py
@@ -71,9 +71,9 @@
 class Spender:
     """Callers of one account at one router."""
 
-    def __init__(self, made: LedgerBudgetSource, account: str = ACCOUNT) -> None:
+    def __init__(self, source: LedgerBudgetSource, account: str = ACCOUNT) -> None:
         self.spent = 0
-        self._made = made
+        self._source = source
         self._account = account
 
     async def spend(self, amount: int, pause_s: float, seconds: float = 1e9) -> None:
@@ -86,7 +86,7 @@
     async def _request(self, amount: int) -> None:
         deadline = trio.current_time() + 1
         try:
-            reserved = await self._made.reserve(self._account, SETTINGS, amount, deadline)
+            reserved = await self._source.reserve(self._account, SETTINGS, amount, deadline)
         except BudgetError:
             return
         reserved.settle(amount)
@@ -103,9 +103,9 @@
         second = make_source_with(store, "i2", "2", 2, FakeClocks("b2"), address="elsewhere:1")
         at_peer, at_cut, at_second = Spender(peer), Spender(cut), Spender(second)
         async with trio.open_nursery() as nursery:
-            for made in (peer, cut):
-                made.enable_preallocation()
-                nursery.start_soon(made.run)
+            for source in (peer, cut):
+                source.enable_preallocation()
+                nursery.start_soon(source.run)
             nursery.start_soon(at_peer.spend, 1, 0.5, 10)
             await at_cut.spend(10, 0.5, 12)
             way.down = True
@@ -174,13 +174,13 @@
         """Without it the process spent 51 units beyond the limit that its successor relies on."""
         store = MemoryStore()
         clocks = FakeClocks("own")
-        made = make_source_with(store, "i1", "1", 0, clocks)
-        made.set_prepaid({ACCOUNT: 1000, OTHER_ACCOUNT: 200_000})
-        made.enable_preallocation()
-        callers = Spender(made, OTHER_ACCOUNT)
+        source = make_source_with(store, "i1", "1", 0, clocks)
+        source.set_prepaid({ACCOUNT: 1000, OTHER_ACCOUNT: 200_000})
+        source.enable_preallocation()
+        callers = Spender(source, OTHER_ACCOUNT)
         beyond: list[int] = []
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(made.run)
+            nursery.start_soon(source.run)
             with trio.move_on_after(13):
                 async with trio.open_nursery() as steady:
                     steady.start_soon(callers.spend, 10, 0.1)
--- a/railtide/budgets/tests/test_returned_bounds.py
+++ b/railtide/budgets/tests/test_returned_bounds.py
@@ -50,31 +50,31 @@
         while True:
             self._lives += 1
             clocks = FakeClocks(f"boot-{self._lives}", trio.current_time() - rng.uniform(0, 9))
-            made = make_source_with(self.store, name, str(self._lives), len(NAMES), clocks)
-            made.set_prepaid({ACCOUNT: BUDGET})
-            made.enable_preallocation()
+            source = make_source_with(self.store, name, str(self._lives), len(NAMES), clocks)
+            source.set_prepaid({ACCOUNT: BUDGET})
+            source.enable_preallocation()
             with trio.move_on_after(rng.uniform(4.0, 25.0)):
                 async with trio.open_nursery() as nursery:
-                    nursery.start_soon(made.run)
+                    nursery.start_soon(source.run)
                     nursery.start_soon(self._set_clock, clocks)
-                    await self._call(made, f"{name}-{self._lives}")
+                    await self._call(source, f"{name}-{self._lives}")
             await trio.sleep(rng.uniform(0.0, 1.0))
 
     async def _set_clock(self, clocks: FakeClocks) -> None:
         await trio.sleep(self._rng.uniform(0.0, 60.0))
         clocks.set_by_s = self._rng.uniform(-5.0, 5.0)
 
-    async def _call(self, made: LedgerBudgetSource, incarnation: str) -> None:
+    async def _call(self, source: LedgerBudgetSource, incarnation: str) -> None:
         self.used_by_incarnation[incarnation] = 0
         async with trio.open_nursery() as nursery:
             while True:
-                nursery.start_soon(self._spend, made, incarnation)
+                nursery.start_soon(self._spend, source, incarnation)
                 await trio.sleep(self._rng.uniform(0.1, 0.2))
 
-    async def _spend(self, made: LedgerBudgetSource, incarnation: str) -> None:
+    async def _spend(self, source: LedgerBudgetSource, incarnation: str) -> None:
         amount = self._rng.randint(1, 25)
         try:
-            reserved = await made.reserve(ACCOUNT, SETTINGS, amount, trio.current_time() + 1)
+            reserved = await source.reserve(ACCOUNT, SETTINGS, amount, trio.current_time() + 1)
         except BudgetError:
             return
         self.used_by_incarnation[incarnation] += amount
--- a/railtide/budgets/tests/test_rollback.py
+++ b/railtide/budgets/tests/test_rollback.py
@@ -29,29 +29,29 @@
 KNOWN_S = 1.0
 
 
-async def spend(made: LedgerBudgetSource, amount: int) -> int:
+async def spend(source: LedgerBudgetSource, amount: int) -> int:
     """Spend an amount; return the units spent, 0 if the request is refused."""
     try:
-        reserved = await made.reserve(ACCOUNT, SETTINGS, amount, trio.current_time() + 1.0)
+        reserved = await source.reserve(ACCOUNT, SETTINGS, amount, trio.current_time() + 1.0)
     except BudgetError:
         return 0
     return reserved.settle(amount)
 
 
-async def run_later(made: LedgerBudgetSource, after_s: float) -> None:
+async def run_later(source: LedgerBudgetSource, after_s: float) -> None:
     await trio.sleep(after_s)
-    await made.run()
+    await source.run()
 
 
-def held(made: LedgerBudgetSource) -> int:
-    return made._account(ACCOUNT).allocation.granted
+def held(source: LedgerBudgetSource) -> int:
+    return source._account(ACCOUNT).allocation.granted
 
 
 class TestRollback:
     async def test_units_of_the_lost_seconds_are_not_granted_again(self, autojump_clock) -> None:
         """The router that holds them reports only shortly before the era may be opened."""
         store = MemoryStore(era=1)
-        made, other = make_source(store, "i1"), make_source(store, "i2")
+        source, other = make_source(store, "i1"), make_source(store, "i2")
         async with trio.open_nursery() as nursery:
             nursery.start_soon(other.run)
             await trio.sleep(KNOWN_S)
@@ -59,10 +59,10 @@
             copy = store.copy()
             with trio.move_on_after(2 * KNOWN_S):
                 async with trio.open_nursery() as away:
-                    away.start_soon(made.run)
-                    total += await spend(made, 900)
+                    away.start_soon(source.run)
+                    total += await spend(source, 900)
             store.roll_back(copy)
-            nursery.start_soon(run_later, made, ERA_CLOSED_S - KNOWN_S)
+            nursery.start_soon(run_later, source, ERA_CLOSED_S - KNOWN_S)
             for _ in range(100):
                 total += await spend(other, 50)
                 await trio.sleep(0.05)
@@ -72,12 +72,12 @@
     async def test_holding_is_reported_again_at_once(self, autojump_clock) -> None:
         """Even if the last report was just made and the next one is not due."""
         store = MemoryStore(era=1)
-        made = make_source(store)
+        source = make_source(store)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(made.run)
+            nursery.start_soon(source.run)
             await trio.sleep(KNOWN_S)
             copy = store.copy()
-            assert await spend(made, 100) == 100
+            assert await spend(source, 100) == 100
             before = ledger_of(store).by_instance["i1"]
             store.roll_back(copy)
             await trio.sleep(OPTIONS.report_interval_s / 2)
@@ -89,57 +89,57 @@
         self, autojump_clock
     ) -> None:
         store = MemoryStore(era=1)
-        made = make_source(store)
+        source = make_source(store)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(made.run)
-            made.enable_preallocation()
+            nursery.start_soon(source.run)
+            source.enable_preallocation()
             for _ in range(10):
-                await spend(made, 10)
+                await spend(source, 10)
                 await trio.sleep(0.2)
-            in_hand = made._account(ACCOUNT).allocation.available
-            assert in_hand > 0
+            unreserved = source._account(ACCOUNT).allocation.available
+            assert unreserved > 0
             store.roll_back(store.copy())
             risen_at = trio.current_time()
-            granted = held(made)
-            assert await spend(made, 1) == 1
+            granted = held(source)
+            assert await spend(source, 1) == 1
             while trio.current_time() < risen_at + ERA_CLOSED_S - 0.3:
-                assert await spend(made, in_hand + 50) == 0
-                assert held(made) <= granted
+                assert await spend(source, unreserved + 50) == 0
+                assert held(source) <= granted
                 await trio.sleep(KNOWN_S / 20)
             await trio.sleep(0.5)
-            assert await spend(made, in_hand + 50) == in_hand + 50
+            assert await spend(source, unreserved + 50) == unreserved + 50
             nursery.cancel_scope.cancel()
 
     async def test_account_of_the_lost_seconds_is_not_granted_at_once(self, autojump_clock) -> None:
         store = MemoryStore(era=1)
-        made = make_source(store)
+        source = make_source(store)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(made.run)
+            nursery.start_soon(source.run)
             await trio.sleep(KNOWN_S)
             store.roll_back(store.copy())
-            made.set_prepaid({ACCOUNT: 1000, "new": 1000})
+            source.set_prepaid({ACCOUNT: 1000, "new": 1000})
             with pytest.raises(BudgetError):
-                await made.reserve("new", SETTINGS, 5, trio.current_time() + 1.0)
+                await source.reserve("new", SETTINGS, 5, trio.current_time() + 1.0)
             nursery.cancel_scope.cancel()
 
     async def test_units_returned_in_the_lost_seconds_are_held_once(self, autojump_clock) -> None:
         store = MemoryStore(era=1)
-        made, other = make_source(store, "i1"), make_source(store, "i2")
+        source, other = make_source(store, "i1"), make_source(store, "i2")
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(made.run)
+            nursery.start_soon(source.run)
             nursery.start_soon(other.run)
             await trio.sleep(KNOWN_S)
-            reserved = await made.reserve(ACCOUNT, SETTINGS, 900, trio.current_time() + 1.0)
+            reserved = await source.reserve(ACCOUNT, SETTINGS, 900, trio.current_time() + 1.0)
             await trio.sleep(KNOWN_S)
             copy = store.copy()
             total = reserved.settle(0)
-            made._account(ACCOUNT).return_unreserved()
+            source._account(ACCOUNT).return_unreserved()
             await trio.sleep(KNOWN_S)
             total += await spend(other, 800)
             assert total == 800
             store.roll_back(copy)
             for _ in range(30):
-                total += await spend(made, 150) + await spend(other, 150)
+                total += await spend(source, 150) + await spend(other, 150)
                 await trio.sleep(0.3)
             assert total <= 1000
             by_instance = ledger_of(store).by_instance
@@ -153,9 +153,9 @@
     @pytest.mark.parametrize("is_in_the_copy", [True, False])
     async def test_holding_of_a_dead_router(self, autojump_clock, is_in_the_copy: bool) -> None:
         store = MemoryStore(era=1)
-        made, dying = make_source(store, "i1"), make_source(store, "i2")
+        source, dying = make_source(store, "i1"), make_source(store, "i2")
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(made.run)
+            nursery.start_soon(source.run)
             copy = store.copy()
             with trio.move_on_after(2 * KNOWN_S):
                 async with trio.open_nursery() as away:
@@ -179,23 +179,23 @@
     ) -> None:
         """Others wrote as many records in the new era as there were in the previous one."""
         store = MemoryStore(era=1)
-        made = make_source(store, "i1")
+        source = make_source(store, "i1")
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(made.run)
+            nursery.start_soon(source.run)
             await trio.sleep(KNOWN_S)
             copy = store.copy()
             for _ in range(4):
-                await spend(made, 10)
+                await spend(source, 10)
                 await trio.sleep(KNOWN_S)
             end = store.topic(OPTIONS.topic).end
             store.roll_back(copy)
             store.put(OPTIONS.topic, "b", ledger_to_bytes(Ledger(closed=70, opened_era=1)))
             while store.topic(OPTIONS.topic).end <= end:
                 store.put(OPTIONS.topic, "c", ledger_to_bytes(Ledger(closed=1, opened_era=1)))
-            made.set_prepaid({ACCOUNT: 1000, "b": 100})
+            source.set_prepaid({ACCOUNT: 1000, "b": 100})
             await trio.sleep(2 * ERA_CLOSED_S)
             with pytest.raises(BudgetError):
-                await made.reserve("b", SETTINGS, 40, trio.current_time() + 1.0)
+                await source.reserve("b", SETTINGS, 40, trio.current_time() + 1.0)
             nursery.cancel_scope.cancel()
 
 
@@ -205,36 +205,36 @@
         self, autojump_clock, is_shown: bool
     ) -> None:
         store = MemoryStore(era=1)
-        made = make_source(store)
+        source = make_source(store)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(made.run)
+            nursery.start_soon(source.run)
             await trio.sleep(KNOWN_S)
             before = store.copy()
             store.lose_answers = 1
-            assert await spend(made, 100) in (0, 100)
+            assert await spend(source, 100) in (0, 100)
             store.down = True
-            assert held(made) in (0, 100)
+            assert held(source) in (0, 100)
             copy = store.copy() if is_shown else before
             store.roll_back(copy)
             store.down = False
             await trio.sleep(KNOWN_S)
             shown = ledger_of(store).by_instance.get("i1")
-            assert held(made) == (shown.granted if shown else 0)
+            assert held(source) == (shown.granted if shown else 0)
             await trio.sleep(2 * ERA_CLOSED_S)
-            assert await spend(made, 100) == 100
+            assert await spend(source, 100) == 100
             await trio.sleep(2 * KNOWN_S)
-            assert ledger_of(store).by_instance["i1"].granted == held(made)
+            assert ledger_of(store).by_instance["i1"].granted == held(source)
             nursery.cancel_scope.cancel()
 
     async def test_it_is_not_tried_again_at_an_offset_of_the_next_era(self, autojump_clock) -> None:
         store = MemoryStore(era=1)
-        made = make_source(store)
+        source = make_source(store)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(made.run)
+            nursery.start_soon(source.run)
             await trio.sleep(KNOWN_S)
             copy = store.copy()
             store.late_appends = 100
-            assert await spend(made, 100) == 0
+            assert await spend(source, 100) == 0
             store.roll_back(copy)
             store.late_appends = 0
             await trio.sleep(3 * ERA_CLOSED_S)
@@ -267,11 +267,11 @@
 class TestWithoutEras:
     async def test_nothing_is_closed(self, autojump_clock) -> None:
         store = MemoryStore()
-        made = make_source(store)
+        source = make_source(store)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(made.run)
+            nursery.start_soon(source.run)
             await trio.sleep(OPTIONS.check_interval_s)
-            assert await spend(made, 100) == 100
+            assert await spend(source, 100) == 100
             nursery.cancel_scope.cancel()
 
 
@@ -282,14 +282,14 @@
     async def test_no_unit_is_spent_twice(self, autojump_clock, seed: int) -> None:
         rng = Random(seed)
         store = MemoryStore(era=1)
-        made = [make_source(store, name, routers=3) for name in ("i1", "i2", "i3")]
+        sources = [make_source(store, name, routers=3) for name in ("i1", "i2", "i3")]
         totals: list[int] = []
         async with trio.open_nursery() as nursery:
-            for router in made:
+            for router in sources:
                 nursery.start_soon(router.run)
                 router.enable_preallocation()
             async with trio.open_nursery() as callers:
-                for router in made:
+                for router in sources:
                     callers.start_soon(self._call, router, Random(rng.random()), totals)
                 callers.start_soon(self._disturb, store, rng)
             await trio.sleep(2 * ERA_CLOSED_S)
--- a/railtide/budgets/tests/test_shortfalls.py
+++ b/railtide/budgets/tests/test_shortfalls.py
@@ -40,15 +40,15 @@
 OPTIONS = LedgerOptions()
 
 
-async def serve(made: LedgerBudgetSource, amount: int, times: int, every_s: float) -> None:
+async def serve(source: LedgerBudgetSource, amount: int, times: int, every_s: float) -> None:
     """Spend an amount repeatedly."""
     for _ in range(times):
         until = trio.current_time() + 1
-        (await made.reserve(ACCOUNT, SETTINGS, amount, until)).settle(amount)
+        (await source.reserve(ACCOUNT, SETTINGS, amount, until)).settle(amount)
         await trio.sleep(every_s)
 
 
-def in_hand(store: MemoryStore, name: str) -> int:
+def unspent_units(store: MemoryStore, name: str) -> int:
     """Return the units that a router holds and has not reported as spent."""
     held = ledger_of(store).by_instance.get(name)
     return held.granted - held.spent if held else 0
@@ -61,13 +61,13 @@
         self, nursery: trio.Nursery, store: MemoryStore
     ) -> list[LedgerBudgetSource]:
         store.put(OPTIONS.topic, ACCOUNT, ledger_to_bytes(Ledger(closed=400, billed=400)))
-        made = [make_source(store, name, routers=2, boot=name) for name in ("i1", "i2")]
-        for each in made:
+        sources = [make_source(store, name, routers=2, boot=name) for name in ("i1", "i2")]
+        for each in sources:
             each.enable_preallocation()
             nursery.start_soon(each.run)
         await trio.sleep(1)
-        await serve(made[0], 10, times=20, every_s=0.2)
-        return made
+        await serve(sources[0], 10, times=20, every_s=0.2)
+        return sources
 
     async def test_retry_is_served_from_units_idle_elsewhere(self, autojump_clock) -> None:
         store = MemoryStore()
@@ -106,7 +106,7 @@
                 with pytest.raises(BudgetError):
                     await asker.reserve(ACCOUNT, SETTINGS, 360, trio.current_time() + 9)
                 await trio.sleep(0.5)
-            assert in_hand(store, "i1") >= 60
+            assert unspent_units(store, "i1") >= 60
             reserved.settle(60)
             nursery.cancel_scope.cancel()
 
@@ -114,7 +114,7 @@
         store = MemoryStore()
         async with trio.open_nursery() as nursery:
             holder, _ = await self._two_routers(nursery, store)
-            held = in_hand(store, "i1")
+            held = unspent_units(store, "i1")
             dead = LedgerBudgetSource(store, "i3", "i3-1", lambda: 2, OPTIONS)
             dead.set_prepaid({ACCOUNT: 1000})
             with trio.move_on_after(1):
@@ -124,7 +124,7 @@
                         await dead.reserve(ACCOUNT, SETTINGS, 360, trio.current_time() + 9)
                     await trio.sleep_forever()
             await serve(holder, 10, times=6, every_s=0.5)
-            assert in_hand(store, "i1") > held / 3
+            assert unspent_units(store, "i1") > held / 3
             nursery.cancel_scope.cancel()
 
     async def test_units_do_not_oscillate_between_routers(self, autojump_clock) -> None:
@@ -150,12 +150,12 @@
     given_up: int = 0
     served: int = 0
 
-    async def call(self, made: LedgerBudgetSource, amount: int) -> None:
+    async def call(self, source: LedgerBudgetSource, amount: int) -> None:
         """Send a request, and retry it once after the advertised time if it is refused."""
         for attempt in range(2):
             try:
                 until = trio.current_time() + 1
-                reserved = await made.reserve(ACCOUNT, SETTINGS, amount, until)
+                reserved = await source.reserve(ACCOUNT, SETTINGS, amount, until)
             except BudgetUnavailable as err:
                 self.refused += 1
                 self.given_up += attempt
@@ -172,16 +172,16 @@
         """Send ten requests a second, one in four nine times as large; all move after 8 s."""
         store = MemoryStore()
         store.delay_s = 0.004
-        made = [make_source(store, name, routers=2, boot=name) for name in ("i1", "i2")]
+        sources = [make_source(store, name, routers=2, boot=name) for name in ("i1", "i2")]
         async with trio.open_nursery() as nursery:
-            for each in made:
+            for each in sources:
                 each.set_prepaid({ACCOUNT: 2_400})
                 each.enable_preallocation()
                 nursery.start_soon(each.run)
             await trio.sleep(1)
             for number in range(160):
                 amount = rng.randint(5, 15) * (9 if rng.random() < 0.25 else 1)
-                nursery.start_soon(self.call, made[number >= 80], amount)
+                nursery.start_soon(self.call, sources[number >= 80], amount)
                 await trio.sleep(0.1)
             await trio.sleep(4)
             nursery.cancel_scope.cancel()
@@ -239,7 +239,7 @@
         """Of 1,000 units 220 are left, half of them at two routers; callers of both ask for 180."""
         store = MemoryStore()
         store.put(OPTIONS.topic, ACCOUNT, ledger_to_bytes(Ledger(closed=500, billed=500)))
-        made = [make_source(store, name, routers=2, boot=name) for name in ("i1", "i2")]
+        sources = [make_source(store, name, routers=2, boot=name) for name in ("i1", "i2")]
         served = []
 
         async def call(router: LedgerBudgetSource) -> None:
@@ -253,15 +253,15 @@
                     return
 
         async with trio.open_nursery() as nursery:
-            for each in made:
+            for each in sources:
                 each.enable_preallocation()
                 nursery.start_soon(each.run)
             async with trio.open_nursery() as small:
-                for each in made:
+                for each in sources:
                     small.start_soon(serve, each, 10, 14, 1.0)
-            assert min(in_hand(store, "i1"), in_hand(store, "i2")) > 40
+            assert min(unspent_units(store, "i1"), unspent_units(store, "i2")) > 40
             async with trio.open_nursery() as callers:
-                for each in made:
+                for each in sources:
                     callers.start_soon(call, each)
             nursery.cancel_scope.cancel()
         assert len(served) == 1
@@ -272,15 +272,15 @@
         need = Shortfall(300, count=1)
         lacking = Holding("i2-1", granted=1, shortfall=need)
         store.put(OPTIONS.topic, ACCOUNT, ledger_to_bytes(Ledger(700, 700, {"i2": lacking})))
-        made = make_source(store, "i1", routers=2)
-        made.enable_preallocation()
+        source = make_source(store, "i1", routers=2)
+        source.enable_preallocation()
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(made.run)
+            nursery.start_soon(source.run)
             await trio.sleep(SHORTFALL_TTL_S - 0.5)
-            await serve(made, 10, times=6, every_s=0.05)
-            assert in_hand(store, "i1") <= 20
+            await serve(source, 10, times=6, every_s=0.05)
+            assert unspent_units(store, "i1") <= 20
             await trio.sleep(SHORTFALL_TTL_S)
-            assert in_hand(store, "i1") > 20
+            assert unspent_units(store, "i1") > 20
             nursery.cancel_scope.cancel()
 
 
