--- a/railtide/budgets/ledger.py
+++ b/railtide/budgets/ledger.py
@@ -95,6 +95,7 @@
     ----------
     closed : int
         Units of dead processes that count as spent: billed, or possibly spent without a report.
+        Includes units withheld when an era was opened.
     billed : int
         Units billed by dead processes, as far as reported.
     by_instance : dict of str to Holding
