--- a/railtide/budgets/tests/test_large_partition.py
+++ b/railtide/budgets/tests/test_large_partition.py
@@ -1,4 +1,4 @@
-"""Tests of railtide.budgets.ledger_partition: more ledgers than one call of the store carries."""
+"""Tests of `ledger_partition` with more ledgers than one store call carries."""
 
 from contextlib import suppress
 
@@ -16,10 +16,10 @@
 
 OPTIONS = LedgerOptions()
 CALL_BYTES = 2_097_152
-"""Most of one append at the users' store."""
+"""Maximum size of one append at the users' store."""
 ROUTERS = 73
 ACCOUNTS = 400
-"""So many that their ledgers are 3 MB, half as much again as one append may have."""
+"""Enough that their ledgers take 3 MB, half as much again as one append may have."""
 
 
 def ledger_of_a_fleet() -> Ledger:
@@ -41,9 +41,9 @@
 
 
 def make_source(store: MemoryStore) -> LedgerBudgetSource:
-    made = LedgerBudgetSource(store, "new", "new-1", lambda: 2, OPTIONS, address="10.0.0.2:8080")
-    made.set_prepaid({f"account-{number}": 1_000_000 for number in range(ACCOUNTS)})
-    return made
+    source = LedgerBudgetSource(store, "new", "new-1", lambda: 2, OPTIONS, address="10.0.0.2:8080")
+    source.set_prepaid({f"account-{number}": 1_000_000 for number in range(ACCOUNTS)})
+    return source
 
 
 class TestLargePartition:
@@ -51,44 +51,44 @@
         ledgers = ACCOUNTS * len(ledger_to_bytes(ledger_of_a_fleet()))
         assert ledgers > 1.4 * CALL_BYTES
 
-    async def test_hands_are_filled_in_several_calls(self, autojump_clock) -> None:
-        """In one call for all, each try was refused and the next one was the same."""
-        made = make_source(store_of_a_fleet())
-        made.enable_preallocation()
-        (part,) = made.partitions
+    async def test_allocations_are_filled_in_several_calls(self, autojump_clock) -> None:
+        """A single call for all was refused, and each retry was the same."""
+        source = make_source(store_of_a_fleet())
+        source.enable_preallocation()
+        (part,) = source.partitions
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(made.run)
+            nursery.start_soon(source.run)
             await trio.sleep(2)
             filled = sum(known.allocation.granted > 0 for known in part.budget_by_account.values())
             assert filled == ACCOUNTS
             nursery.cancel_scope.cancel()
 
-    async def test_others_are_heard_while_more_is_due_than_is_done(self, autojump_clock) -> None:
+    async def test_ledgers_are_read_while_changes_stay_due(self, autojump_clock) -> None:
         store = store_of_a_fleet()
-        made = make_source(store)
-        made.enable_preallocation()
-        (part,) = made.partitions
+        source = make_source(store)
+        source.enable_preallocation()
+        (part,) = source.partitions
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(made.run)
+            nursery.start_soon(source.run)
             store.delay_s = 0.5
             for _ in range(5):
                 await trio.sleep(5)
-                assert part.ledger_age_ms < 1000 * (OPTIONS.idle_read_s + 2)
+                assert part.ledger_age_ms < 1000 * (OPTIONS.idle_read_interval_s + 2)
             nursery.cancel_scope.cancel()
 
     async def test_who_waits_goes_first(self, autojump_clock) -> None:
         """All hands are due at once; a call takes 0.1 s, and 24 of them hold all ledgers."""
         store = store_of_a_fleet()
-        made = make_source(store)
+        source = make_source(store)
         async with trio.open_nursery() as nursery:
             store.delay_s = 0.1
-            nursery.start_soon(made.run)
+            nursery.start_soon(source.run)
             name = f"account-{ACCOUNTS - 1}"
             settings = AccountSettings(budget_wait_s=5.0)
             await trio.sleep(12)
-            made.enable_preallocation()
+            source.enable_preallocation()
             began = trio.current_time()
-            (await made.reserve(name, settings, 500_000, began + 9)).settle(500)
+            (await source.reserve(name, settings, 500_000, began + 9)).settle(500)
             assert trio.current_time() - began < 0.45
             nursery.cancel_scope.cancel()
 
@@ -97,12 +97,12 @@
     ) -> None:
         """Forty accounts have traffic; to report it takes three calls, and is due by each."""
         store = store_of_a_fleet()
-        made = make_source(store)
-        made.enable_preallocation()
-        (part,) = made.partitions
+        source = make_source(store)
+        source.enable_preallocation()
+        (part,) = source.partitions
         settings = AccountSettings(budget_wait_s=0.1)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(made.run)
+            nursery.start_soon(source.run)
             await trio.sleep(2)
             store.delay_s = 0.5
             for _ in range(100):
@@ -110,7 +110,7 @@
                 for number in range(40):
                     with suppress(BudgetUnavailable):
                         until = trio.current_time() + 0.1
-                        (await made.reserve(f"account-{number}", settings, 50, until)).settle(50)
+                        (await source.reserve(f"account-{number}", settings, 50, until)).settle(50)
             grown = [known.allocation.granted for known in part.budget_by_account.values()]
             assert min(grown) > 15_000
             nursery.cancel_scope.cancel()
@@ -143,7 +143,7 @@
         return page
 
     async def change(self, account: str, every_s: float) -> None:
-        """Append to a ledger as another router would, for ever."""
+        """Append to a ledger repeatedly, as another router would."""
         value = ledger_to_bytes(ledger_of_a_fleet())
         while True:
             await trio.sleep(every_s)
@@ -151,43 +151,44 @@
 
 
 class TestLongRead:
-    async def test_grant_comes_beside_others_that_append(self, autojump_clock) -> None:
-        """All 400 ledgers take 5.6 s, within which others always append: no try ever won."""
+    async def test_grant_succeeds_while_others_append(self, autojump_clock) -> None:
+        """Reading all 400 ledgers takes 5.6 s, within which others always append: no
+        compare-and-swap after such a read ever succeeded."""
         store = store_of_a_fleet(NarrowStore())
-        made = make_source(store)
+        source = make_source(store)
         settings = AccountSettings(budget_wait_s=5.0)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(made.run)
+            nursery.start_soon(source.run)
             nursery.start_soon(store.change, "other", 0.25)
             await trio.sleep(20)
             began = trio.current_time()
-            (await made.reserve("account-5", settings, 500, began + 9)).settle(500)
+            (await source.reserve("account-5", settings, 500, began + 9)).settle(500)
             assert trio.current_time() - began < 1
             nursery.cancel_scope.cancel()
 
-    async def test_all_is_read_where_that_is_less(self, autojump_clock) -> None:
+    async def test_newest_are_read_if_that_is_less(self, autojump_clock) -> None:
         """A ledger that changes 500 times a second is read once a second."""
         store = NarrowStore()
         value = ledger_to_bytes(ledger_of_a_fleet())
         store.put(OPTIONS.topic, "account-0", value)
-        made = make_source(store)
+        source = make_source(store)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(made.run)
+            nursery.start_soon(source.run)
             nursery.start_soon(store.change, "account-1", 0.002)
             await trio.sleep(30)
             assert store.bytes_read < 150 * len(value)
             nursery.cancel_scope.cancel()
 
-    async def test_history_that_is_gone_is_read_from_the_newest(self, autojump_clock) -> None:
+    async def test_newest_are_read_if_history_expired(self, autojump_clock) -> None:
         store = store_of_a_fleet(NarrowStore())
-        made = make_source(store)
-        (part,) = made.partitions
+        source = make_source(store)
+        (part,) = source.partitions
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(made.run)
+            nursery.start_soon(source.run)
             await trio.sleep(20)
             changed = Ledger(closed=1_000_000)
             store.put(OPTIONS.topic, "account-7", ledger_to_bytes(changed))
             store.topic(OPTIONS.topic).forget()
             await trio.sleep(20)
-            assert part.budget("account-7").is_spent(1)
+            assert part.budget_for("account-7").is_exhausted(1)
             nursery.cancel_scope.cancel()
