--- a/railtide/platform/desired_state.py
+++ b/railtide/platform/desired_state.py
@@ -34,7 +34,7 @@
 """Printable ASCII without spaces, since an engine's id is sent to it in a header."""
 MS = 1000.0
 MAX_COLD_S = 600.0
-"""No engine stays cold for longer; a higher value is taken for an error of its writer."""
+"""No engine stays cold for longer; a higher value is taken for an error and is reduced to this."""
 
 
 class _Split(msgspec.Struct):
--- a/railtide/platform/ingress.py
+++ b/railtide/platform/ingress.py
@@ -138,7 +138,10 @@
     async def _refuse(
         self, err: RailtideError, responder: Responder, trace: "_RequestTrace"
     ) -> int:
-        """Respond with an error, unless a response has begun; return the status, 0 for none."""
+        """Respond with an error and return its status.
+
+        A response that has begun is left incomplete, and 0 is returned.
+        """
         if responder.started or isinstance(err, CallerGone):
             return 0
         not_run = err.run is Run.NOT_RUN and err.status >= MIN_SERVER_ERROR
--- a/railtide/platform/store.py
+++ b/railtide/platform/store.py
@@ -46,8 +46,9 @@
 """All reads share the store's bandwidth: 1,100 routers that read a desired state of 500 KB at once
 through 80 MB/s are served within 7 s."""
 STALL_TIMEOUT_S = 1.0
-"""Longest gap within a response. Above the pause after two losses of the same TCP segment (0.2 s
-and 0.4 s), and as short as `FIRST_BYTE_TIMEOUT_S` to detect a dead connection."""
+"""Time within which a response that has begun must bring more data. Above the pause after two
+losses of the same TCP segment (0.2 s and 0.4 s), and as short as `FIRST_BYTE_TIMEOUT_S` so that a
+dead connection is detected as soon."""
 HEDGE_DELAY_S = 0.1
 MAX_HEDGE_DELAY_S = 0.8
 """Bounds of the backoff between hedged requests; the same as between the retries of a feed."""
@@ -433,7 +434,10 @@
             exchange.abandon()
 
     def _raise_for_status(self, operation: _Operation, response: StoreResponse) -> None:
-        """Raise the error that an unsuccessful response stands for, as this operation knows it."""
+        """Raise the error for an unsuccessful response.
+
+        412 and 410 carry an offset only in response to a conditional append and to a read.
+        """
         if response.status == OK:
             return
         self._counters.add(f"store_answers_{response.status}")
--- a/railtide/platform/tests/hosts.py
+++ b/railtide/platform/tests/hosts.py
@@ -1,7 +1,7 @@
-"""A loopback address of this test process alone.
+"""A loopback address that only this test process uses.
 
-Tests run in several processes. A port that one of them let go of may be another's next one; a
-request that was meant for the first would reach an engine to which another test gave the same name.
+Tests run in several processes. On a shared address, a port that one process has closed may be
+opened by another, and a request for the first would reach an engine of the same name in the second.
 """
 
 import os
--- a/railtide/platform/tests/test_boot.py
+++ b/railtide/platform/tests/test_boot.py
@@ -42,10 +42,10 @@
             read_boot(write(tmp_path, text))
 
     @pytest.mark.parametrize("text", ["{", "- 1", ""])
-    def test_what_is_no_settings_file_is_said_so(self, tmp_path: Path, text: str) -> None:
+    def test_malformed_file_is_invalid(self, tmp_path: Path, text: str) -> None:
         with pytest.raises(InvalidSetting):
             read_boot(write(tmp_path, text))
 
-    def test_absent_file_is_said_so(self) -> None:
+    def test_missing_file_is_invalid(self) -> None:
         with pytest.raises(InvalidSetting, match="RAILTIDE_BOOT"):
             read_boot("/nowhere/local.yaml")
--- a/railtide/platform/tests/test_contents.py
+++ b/railtide/platform/tests/test_contents.py
@@ -1,4 +1,4 @@
-"""The program `railtide-contents` against a store: what it prints, and what it changes."""
+"""Tests of the program `railtide-contents` with a store: its output and its changes."""
 
 import sys
 
@@ -9,7 +9,7 @@
 from railtide.containment.records import record_key, record_value
 from railtide.containment.registry import TOPIC
 from railtide.platform.tests.hosts import HOST
-from railtide.platform.tests.test_whole_path import serve
+from railtide.platform.tests.test_end_to_end import serve
 from railtide.standins.keyed_store import MemoryStore
 from railtide.standins.platform import StoreServer
 
--- a/railtide/platform/tests/test_eras.py
+++ b/railtide/platform/tests/test_eras.py
@@ -15,12 +15,12 @@
 from railtide.standins.keyed_store import MemoryStore
 from railtide.standins.platform import StoreServer
 
-MANY = 700
-"""Records of more than one page of the newest."""
+RECORD_COUNT = 700
+"""More records than fit in one page of the newest."""
 
 
-class Told:
-    """A server that tells the eras that a test gives, one for each answer; the last stays."""
+class EraServer:
+    """A server whose answers state the given eras in turn; the last one is repeated."""
 
     def __init__(self, memory: MemoryStore, *eras: str | None) -> None:
         self._left = list(eras)
@@ -31,12 +31,12 @@
 
 
 def put_many(memory: MemoryStore) -> None:
-    for n in range(MANY):
+    for n in range(RECORD_COUNT):
         memory.put("t", f"k{n}", b"1")
 
 
-class TestRise:
-    async def test_each_answer_tells_the_era(self) -> None:
+class TestEraRise:
+    async def test_era_is_read_from_each_answer(self) -> None:
         memory = MemoryStore(era=4)
         async with client_of(StoreServer(memory).handle) as store:
             assert store.era is None
@@ -49,20 +49,20 @@
             await store.append("t", {"a": b"1"})
             assert store.era is None
 
-    async def test_listeners_are_told(self) -> None:
+    async def test_listeners_are_notified(self) -> None:
         memory = MemoryStore(era=1)
-        told: list[int | None] = []
+        eras: list[int | None] = []
         async with client_of(StoreServer(memory).handle) as store:
-            store.on_rise(lambda: told.append(store.era))
+            store.on_rise(lambda: eras.append(store.era))
             await store.newest("t")
             memory.roll_back(memory.copy())
             with pytest.raises(EraRisen):
                 await store.newest("t")
             await store.newest("t")
-        assert told == [2]
+        assert eras == [2]
 
-    async def test_refusal_of_the_next_era_is_no_refusal(self) -> None:
-        """A conflict or a lost offset of the next era says nothing about what was asked."""
+    async def test_refusal_in_a_new_era_is_not_reported_as_a_refusal(self) -> None:
+        """A conflict or an expired offset in a new era says nothing about the request."""
         memory = MemoryStore(era=1)
         async with client_of(StoreServer(memory).handle) as store:
             copy = memory.copy()
@@ -78,7 +78,7 @@
             with pytest.raises(RecordsExpired):
                 await store.read("t", 1, 0.0)
 
-    async def test_append_that_was_done_in_the_next_era_is_unknown(self) -> None:
+    async def test_append_done_in_a_new_era_has_an_unknown_outcome(self) -> None:
         memory = MemoryStore(era=1)
         async with client_of(StoreServer(memory).handle) as store:
             await store.newest("t")
@@ -87,13 +87,13 @@
                 await store.append("t", {"a": b"1"})
         assert memory.topic("t").end == 1
 
-    async def test_call_whose_rise_another_call_told_is_not_answered(self) -> None:
-        """It was sent before the other one's answer; its own answer is of the next era too."""
+    async def test_request_sent_before_a_rise_seen_by_another_request_fails(self) -> None:
+        """It was sent before the other's answer, and its own answer is of the new era too."""
         memory = MemoryStore(era=1)
         async with client_of(StoreServer(memory).handle) as store:
             await store.newest("t")
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._read_over_a_rise, store)
+                nursery.start_soon(self._read_until_rise, store)
                 await trio.sleep(0.05)
                 memory.era = 2
                 with pytest.raises(EraRisen):
@@ -101,11 +101,13 @@
                 memory.put("t", "a", b"1")
 
     @staticmethod
-    async def _read_over_a_rise(store) -> None:
+    async def _read_until_rise(store) -> None:
         with pytest.raises(EraRisen):
             await store.read("t", 0, 30.0)
 
-    async def test_records_that_came_while_another_call_told_it_are_not_kept(self) -> None:
+    async def test_records_received_before_a_rise_seen_by_another_request_are_discarded(
+        self,
+    ) -> None:
         memory = MemoryStore(era=1)
         memory.put("t", "a", b"1")
         begun = trio.Event()
@@ -125,46 +127,46 @@
         async with client_of(handle) as store:
             await store.newest("t")
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._read_over_a_rise, store)
+                nursery.start_soon(self._read_until_rise, store)
                 await begun.wait()
                 memory.era = 2
                 with pytest.raises(EraRisen):
                     await store.newest("u")
 
-    async def test_items_that_came_while_another_call_told_it_are_not_kept(self) -> None:
+    async def test_items_received_before_a_rise_seen_by_another_request_are_discarded(self) -> None:
         memory = MemoryStore(era=1)
         begun = trio.Event()
         server = StoreServer(memory)
-        asked: list[bytes] = []
-        part = b'{"items":[{"key":"a","value":"","offset":0},{"key":"b","value":"","offset":1},'
+        targets: list[bytes] = []
+        prefix = b'{"items":[{"key":"a","value":"","offset":0},{"key":"b","value":"","offset":1},'
 
         async def handle(request: HttpRequest, responder: Responder) -> None:
-            asked.append(request.target)
-            if len(asked) > 1:
+            targets.append(request.target)
+            if len(targets) > 1:
                 await server.handle(request, responder)
                 return
-            await responder.start(200, ((b"store-era", b"1"),), len(part) + 9)
-            await responder.write(part)
+            await responder.start(200, ((b"store-era", b"1"),), len(prefix) + 9)
+            await responder.write(prefix)
             begun.set()
             await trio.sleep(0.1)
             await responder.hijack().aclose()
 
         async with client_of(handle) as store:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._newest_over_a_rise, store)
+                nursery.start_soon(self._newest_until_rise, store)
                 await begun.wait()
                 memory.era = 2
                 with pytest.raises(EraRisen):
                     await store.newest("u")
             await store.newest("t")
-        assert b"after" not in asked[-1]
+        assert b"after" not in targets[-1]
 
-    async def _newest_over_a_rise(self, store: PlatformStore) -> None:
+    async def _newest_until_rise(self, store: PlatformStore) -> None:
         with pytest.raises(EraRisen):
             await store.newest("t")
 
-    async def test_answer_of_the_next_era_is_not_begun(self) -> None:
-        """What its reader is told of its beginning would be taken for the era that it asked in."""
+    async def test_answer_of_a_new_era_reports_no_progress(self) -> None:
+        """Its reader would take the reported end offset for one of the era of the request."""
         memory = MemoryStore(era=1)
         memory.put("t", "a", b"1")
         begun: list[Transfer] = []
@@ -180,11 +182,11 @@
         memory = MemoryStore(era=1)
         put_many(memory)
         server = StoreServer(memory)
-        asked: list[bytes] = []
+        targets: list[bytes] = []
 
         async def handle(request: HttpRequest, responder: Responder) -> None:
-            asked.append(request.target)
-            if b"after=" in request.target and len(asked) == 2:
+            targets.append(request.target)
+            if b"after=" in request.target and len(targets) == 2:
                 await responder.answer(503, ((b"store-era", b"1"),))
                 return
             await server.handle(request, responder)
@@ -198,13 +200,13 @@
                 await store.read("u", 0, 0.0)
             page = await store.newest("t")
         assert [record.key for record in page.records] == ["new"]
-        assert b"after" not in asked[-1]
+        assert b"after" not in targets[-1]
 
 
-class TestBadEras:
-    async def test_era_that_falls_is_no_answer(self) -> None:
+class TestInvalidEras:
+    async def test_answer_with_a_lower_era_is_rejected(self) -> None:
         memory = MemoryStore()
-        async with client_of(Told(memory, "2", "1", "2").handle) as store:
+        async with client_of(EraServer(memory, "2", "1", "2").handle) as store:
             await store.newest("t")
             with pytest.raises(LogUnavailable) as lower:
                 await store.append("t", {"a": b"1"}, expected_end=7)
@@ -212,10 +214,12 @@
             await store.newest("t")
             assert store.era == 2
 
-    @pytest.mark.parametrize("told", [None, "", "two", "-3"])
-    async def test_missing_or_unreadable_one_is_no_answer(self, told: str | None) -> None:
+    @pytest.mark.parametrize("header", [None, "", "two", "-3"])
+    async def test_answer_with_a_missing_or_malformed_era_is_rejected(
+        self, header: str | None
+    ) -> None:
         memory = MemoryStore()
-        async with client_of(Told(memory, "2", told, "2").handle) as store:
+        async with client_of(EraServer(memory, "2", header, "2").handle) as store:
             await store.newest("t")
             with pytest.raises(LogUnavailable) as bad:
                 await store.newest("t")
@@ -223,16 +227,16 @@
             await store.newest("t")
             assert store.era == 2
 
-    @pytest.mark.parametrize("told", [None, "x"])
-    async def test_store_that_never_told_one_serves(self, told: str | None) -> None:
-        async with client_of(Told(MemoryStore(), told).handle) as store:
+    @pytest.mark.parametrize("header", [None, "x"])
+    async def test_store_without_a_valid_era_is_used(self, header: str | None) -> None:
+        async with client_of(EraServer(MemoryStore(), header).handle) as store:
             assert await store.append("t", {"a": b"1"}) == 1
             assert (await store.newest("t")).end == 1
 
-    async def test_eras_that_differ_at_one_moment_rise_once(self) -> None:
+    async def test_alternating_eras_rise_once(self) -> None:
         memory = MemoryStore()
         rises: list[int | None] = []
-        async with client_of(Told(memory, "1", "2", "1", "2", "1", "2").handle) as store:
+        async with client_of(EraServer(memory, "1", "2", "1", "2", "1", "2").handle) as store:
             store.on_rise(lambda: rises.append(store.era))
             outcomes = [await self._outcome(store) for _ in range(6)]
         assert outcomes == ["", "EraRisen", "LogUnavailable", "", "LogUnavailable", ""]
--- a/railtide/platform/tests/test_long_newest.py
+++ b/railtide/platform/tests/test_long_newest_reads.py
@@ -1,4 +1,4 @@
-"""Tests of railtide.platform.store: newest records that take longer than their pages are kept."""
+"""Tests of railtide.platform.store: reads of the newest that take longer than pages are kept."""
 
 from urllib.parse import parse_qs, urlsplit
 
@@ -9,26 +9,26 @@
 from railtide.http.server import ConnectionLimits, HttpServer, Responder
 from railtide.http.sockets import listen
 from railtide.journal.errors import LogUnavailable
-from railtide.platform import store as module
+from railtide.platform import store as store_module
 from railtide.platform.store import PlatformStore
 from railtide.platform.tests.hosts import HOST
 from railtide.telemetry.counters import Counters
 
 PAGES = 12
-PAGE_S = 0.05
-KEPT_S = 0.2
-"""In place of ten seconds, of which a link of 5 Mbit/s carries 6.25 MB."""
+PAGE_DELAY_S = 0.05
+TTL_S = 0.2
+"""Instead of 10 s, in which a link of 5 Mbit/s carries 6.25 MB."""
 
 
 class LongTopic:
-    """A topic whose newest records are many pages; each eighth call is refused."""
+    """A topic whose newest records span many pages; every eighth request is refused."""
 
     def __init__(self) -> None:
         self.calls = 0
 
     async def handle(self, request: HttpRequest, responder: Responder) -> None:
         self.calls += 1
-        await trio.sleep(PAGE_S)
+        await trio.sleep(PAGE_DELAY_S)
         if self.calls % 8 == 0:
             await responder.answer(503, ())
             return
@@ -40,9 +40,9 @@
 
 
 class TestLongNewest:
-    async def test_pages_that_came_are_kept_however_long_the_read_takes(self, monkeypatch) -> None:
-        """A topic that is read for longer, over a link that breaks now and then, never comes."""
-        monkeypatch.setattr(module, "RESUME_TTL_S", KEPT_S)
+    async def test_received_pages_are_kept_however_long_the_read_takes(self, monkeypatch) -> None:
+        """If the age counted from the first page, a long read over a bad link would never end."""
+        monkeypatch.setattr(store_module, "RESUME_TTL_S", TTL_S)
         listener = await listen(HOST, 0)
         topic = LongTopic()
         async with trio.open_nursery() as nursery:
--- a/railtide/platform/tests/test_lost_answers.py
+++ b/railtide/platform/tests/test_lost_answers.py
@@ -1,4 +1,4 @@
-"""How late the store's client notices silence once its waits have grown."""
+"""How soon the store's client detects a missing answer after its timeouts have grown."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager, suppress
@@ -18,20 +18,20 @@
 ANSWER = b'{"items": [], "has_more": false, "end_offset": 0}'
 
 
-class LosingStore:
-    """Answers each call, but for those to a topic whose answers are lost."""
+class UnansweringStore:
+    """A store that answers all requests except those for one topic."""
 
     def __init__(self) -> None:
-        self.lost_topic = b""
+        self.unanswered_topic = b""
 
     async def handle(self, request: HttpRequest, responder: Responder) -> None:
-        if self.lost_topic and self.lost_topic in request.target:
+        if self.unanswered_topic and self.unanswered_topic in request.target:
             await trio.sleep_forever()
         await responder.answer(200, (), ANSWER)
 
 
 @asynccontextmanager
-async def client_of(store: LosingStore) -> AsyncIterator[PlatformStore]:
+async def client_of(store: UnansweringStore) -> AsyncIterator[PlatformStore]:
     listener = await listen(HOST, 0)
     async with trio.open_nursery() as nursery:
         server = HttpServer(store.handle, ConnectionLimits())
@@ -40,58 +40,59 @@
         nursery.cancel_scope.cancel()
 
 
-async def seconds_to_notice(client: PlatformStore, topic: str, partition: int = 0) -> float:
-    began = trio.current_time()
+async def seconds_to_detect(client: PlatformStore, topic: str, partition: int = 0) -> float:
+    sent_at = trio.current_time()
     with suppress(LogUnavailable), trio.move_on_after(9.5):
         await client.newest(topic, partition)
-    return trio.current_time() - began
+    return trio.current_time() - sent_at
 
 
-async def ask_often(client: PlatformStore) -> None:
-    """Be another topic that the store answers all the time."""
+async def read_often(client: PlatformStore) -> None:
+    """Read another topic, which the store answers all the time."""
     while True:
         await client.newest("keyed.other")
         await trio.sleep(0.05)
 
 
 class TestPartitions:
-    async def test_one_silence_doubles_the_wait_of_each_partition_once(self) -> None:
-        """Five partitions that were silent at one moment were one try, not five."""
-        store = LosingStore()
-        store.lost_topic = LEDGERS.encode()
+    async def test_one_outage_doubles_the_timeout_of_each_partition_once(self) -> None:
+        """Timeouts of five partitions at the same time count as one failed attempt each."""
+        store = UnansweringStore()
+        store.unanswered_topic = LEDGERS.encode()
         async with client_of(store) as client:
             async with trio.open_nursery() as nursery:
                 for partition in range(5):
-                    nursery.start_soon(seconds_to_notice, client, LEDGERS, partition)
-            assert await seconds_to_notice(client, LEDGERS) < 2 * FIRST_BYTE_TIMEOUT_S + SLACK_S
+                    nursery.start_soon(seconds_to_detect, client, LEDGERS, partition)
+            assert await seconds_to_detect(client, LEDGERS) < 2 * FIRST_BYTE_TIMEOUT_S + SLACK_S
 
 
 class TestLostAppends:
-    async def test_lost_answers_of_appends_make_none_wait_longer(self) -> None:
-        """A store that loses a third of them loses several in a row, and is not slow."""
-        store = LosingStore()
-        store.lost_topic = LEDGERS.encode()
+    async def test_lost_answers_of_appends_do_not_raise_the_timeout(self) -> None:
+        """A store that loses a third of the answers loses several in a row, but is not slow."""
+        store = UnansweringStore()
+        store.unanswered_topic = LEDGERS.encode()
         async with client_of(store) as client, trio.open_nursery() as nursery:
-            nursery.start_soon(ask_often, client)
+            nursery.start_soon(read_often, client)
             for _ in range(4):
-                began = trio.current_time()
+                sent_at = trio.current_time()
                 with suppress(LogUnavailable), trio.move_on_after(9.5):
                     await client.append(LEDGERS, {"a": b"1"}, 0)
-                assert trio.current_time() - began < FIRST_BYTE_TIMEOUT_S + SLACK_S
+                assert trio.current_time() - sent_at < FIRST_BYTE_TIMEOUT_S + SLACK_S
             nursery.cancel_scope.cancel()
 
 
 class TestLostAnswers:
-    async def test_silent_connection_is_noticed_in_time_while_others_are_answered(self) -> None:
-        """Four answers of one topic are lost in a row; the store is there, and others hear it.
+    async def test_lost_answers_of_one_topic_are_detected_in_time(self) -> None:
+        """Four answers of one topic are lost in a row, while those of another topic arrive.
 
-        With the limit of before, 1.0 s beyond the wait, each was noticed in 1.0 s, 4 s in all.
+        With a fixed timeout of 1.0 s each loss was detected after 1.0 s, which adaptive timeouts
+        must not exceed by much.
         """
-        store = LosingStore()
-        store.lost_topic = b"keyed.op"
+        store = UnansweringStore()
+        store.unanswered_topic = b"keyed.op"
         async with client_of(store) as client, trio.open_nursery() as nursery:
-            nursery.start_soon(ask_often, client)
-            seconds = [await seconds_to_notice(client, "keyed.op") for _ in range(4)]
+            nursery.start_soon(read_often, client)
+            seconds = [await seconds_to_detect(client, "keyed.op") for _ in range(4)]
             nursery.cancel_scope.cancel()
         assert max(seconds) < 2 * FIRST_BYTE_TIMEOUT_S + SLACK_S, [
             round(each, 2) for each in seconds
--- a/railtide/platform/tests/test_page.py
+++ b/railtide/platform/tests/test_page.py
@@ -18,7 +18,7 @@
 
 class TestPageReader:
     @given(VALUES, st.integers(0, 9), st.lists(st.integers(0, 300), max_size=8))
-    def test_any_cut_into_chunks_reads_the_same(
+    def test_result_does_not_depend_on_chunk_boundaries(
         self, values: list[bytes], start: int, cuts: list[int]
     ) -> None:
         data = page(values, start + len(values))
@@ -31,7 +31,7 @@
         assert [record.value for record in reader.page().records] == values
 
     @given(VALUES, st.integers(0, 300))
-    def test_what_broke_off_has_the_records_that_came_whole(
+    def test_truncated_page_has_its_complete_records(
         self, values: list[bytes], length: int
     ) -> None:
         data = page(values, len(values))[: 16 + length]
@@ -43,13 +43,13 @@
         assert got.next_offset == sum(whole)
         assert reader.is_complete == (len(page(values[: sum(whole)], 0)) == len(data))
 
-    def test_the_end_is_known_before_the_first_record_is_whole(self) -> None:
+    def test_end_is_known_before_the_first_record_is_complete(self) -> None:
         reader = PageReader(3)
         reader.feed(page([bytes(1000)], 7)[:20])
         assert reader.end == 7
         assert not reader.has_records
 
-    def test_a_page_without_its_head_is_none(self) -> None:
+    def test_page_without_its_header_is_rejected(self) -> None:
         reader = PageReader(0)
         reader.feed(bytes(15))
         with pytest.raises(LogUnavailable):
--- a/railtide/platform/tests/test_partial_json.py
+++ b/railtide/platform/tests/test_partial_json.py
@@ -16,9 +16,9 @@
 )
 
 
-class TestWholeItems:
+class TestCompleteItems:
     @given(st.lists(ITEM, max_size=4), st.booleans(), st.integers(0, 400))
-    def test_are_those_that_end_before_the_break(
+    def test_items_that_end_before_the_cut_are_returned(
         self, items: list[dict], items_first: bool, cut: int
     ) -> None:
         rest = {"has_more": True, "end_offset": 7}
@@ -29,6 +29,6 @@
         if cut >= len(body):
             assert found == items
 
-    def test_of_what_is_no_page_there_are_none(self) -> None:
+    def test_malformed_page_has_no_items(self) -> None:
         for body in (b"", b'{"items": 3, "list": [{}]}', b"[{}]", b'{"items"', b"\xff\xfe"):
             assert complete_items(body) == []
--- a/railtide/platform/tests/test_standstill.py
+++ b/railtide/platform/tests/test_process_pause.py
@@ -1,4 +1,4 @@
-"""A process that stood still finds the rest of an answer in its socket."""
+"""A process that was paused must read the rest of an answer from its socket buffer."""
 
 import socket
 import threading
@@ -13,7 +13,7 @@
 
 
 def _answer_in_two_parts(listener: socket.socket) -> None:
-    """Answer one read; the rest comes 0.3 s behind the first."""
+    """Answer one read in two parts, the second 0.3 s after the first."""
     peer, _ = listener.accept()
     peer.recv(65_536)
     content = b"\x01a" + VALUE
@@ -23,17 +23,17 @@
     peer.sendall(body[50_000:])
 
 
-class TestStandstill:
-    async def test_answer_that_waits_in_the_socket_is_taken(self) -> None:
+class TestProcessPause:
+    async def test_answer_buffered_during_a_pause_is_read(self) -> None:
         listener = socket.create_server(("127.0.0.1", 0))
         threading.Thread(target=_answer_in_two_parts, args=(listener,), daemon=True).start()
         store = PlatformStore(f"127.0.0.1:{listener.getsockname()[1]}", Counters())
         async with trio.open_nursery() as nursery:
 
-            async def stand_still() -> None:
+            async def pause() -> None:
                 await trio.sleep(0.15)
-                time.sleep(STALL_TIMEOUT_S + 0.5)  # noqa: ASYNC251 - the process stands still
+                time.sleep(STALL_TIMEOUT_S + 0.5)  # noqa: ASYNC251 - pauses the process
 
-            nursery.start_soon(stand_still)
+            nursery.start_soon(pause)
             page = await store.read("keyed.t", 0, 0.0)
         assert page.records[0].value == VALUE
--- a/railtide/platform/tests/test_rollback.py
+++ b/railtide/platform/tests/test_rollback.py
@@ -1,98 +1,103 @@
-"""A router over HTTP whose store comes back from a copy some seconds old."""
+"""End-to-end tests of a router whose store is restored from a copy some seconds old."""
 
 import trio
 
 from railtide.edge.freshness import REWRITTEN_S
 from railtide.membership.instances import InstanceState
 from railtide.membership.upstream_list import RETURN_GRACE_S
-from railtide.platform.tests.test_outdated_view import assert_outdated, until
-from railtide.platform.tests.test_whole_path import World, body_of, desired_state, world
+from railtide.platform.tests.test_end_to_end import (
+    RouterEnvironment,
+    body_of,
+    desired_state,
+    router_environment,
+)
+from railtide.platform.tests.test_outdated_configuration import assert_outdated, wait_until
 from railtide.standins.keyed_store import MemoryStore
 
 CONFIGURATION = "keyed.op"
 NEW_KEY = (b"x-credential", b"k2")
 OLD_KEY = (b"x-credential", b"k")
-SHOWN_S = 0.5
-"""In which a router has read a copy: two reads of a store that answers in milliseconds."""
+READ_S = 0.5
+"""Time within which a router has read the copy: two reads of a fast store."""
 BORN = 1_700_000_000_000
 
 
-def upstreams(w: World) -> dict[str, InstanceState]:
-    scheduler = w.node.schedulers_by_pool["s"]
+def upstream_states(env: RouterEnvironment) -> dict[str, InstanceState]:
+    scheduler = env.node.schedulers_by_pool["s"]
     return {name: known.instance.state for name, known in scheduler.by_name.items()}
 
 
 class TestRollback:
-    async def test_configuration_does_not_revert_and_moves_on(self) -> None:
-        async with world(store=MemoryStore(era=1)) as w:
-            await w.add_engine("e1")
-            copy = w.store.copy()
-            w.store.put(CONFIGURATION, "config", desired_state(2, keys=("k2",)))
-            await until(lambda: w.node.snapshot.version == 2)
-            w.store.roll_back(copy)
-            await trio.sleep(SHOWN_S)
-            assert w.node.snapshot.version == 2
-            assert (await w.ask("/safe/x", OLD_KEY)).status in (401, 503)
-            answer = await w.ask("/safe/x", NEW_KEY)
+    async def test_configuration_does_not_revert_and_accepts_newer_versions(self) -> None:
+        async with router_environment(store=MemoryStore(era=1)) as env:
+            await env.add_engine("e1")
+            copy = env.store.copy()
+            env.store.put(CONFIGURATION, "config", desired_state(2, keys=("k2",)))
+            await wait_until(lambda: env.node.snapshot.version == 2)
+            env.store.roll_back(copy)
+            await trio.sleep(READ_S)
+            assert env.node.snapshot.version == 2
+            assert (await env.send("/safe/x", OLD_KEY)).status in (401, 503)
+            answer = await env.send("/safe/x", NEW_KEY)
             assert (answer.status, await body_of(answer)) == (200, b"ok")
-            w.store.put(CONFIGURATION, "config", desired_state(3))
-            await until(lambda: w.node.snapshot.version == 3)
+            env.store.put(CONFIGURATION, "config", desired_state(3))
+            await wait_until(lambda: env.node.snapshot.version == 3)
 
-    async def test_upstream_that_left_stays_so(self) -> None:
-        async with world(store=MemoryStore(era=1)) as w:
-            await w.add_engine("e1")
-            await w.add_engine("e2", born=BORN)
-            copy = w.store.copy()
-            w.put_engine("e2", born=BORN, seq=2, state="draining")
-            await until(lambda: upstreams(w)["e2"] is InstanceState.LEAVING)
-            w.store.put("keyed.servers", "e2", b"")
-            await until(lambda: "e2" not in upstreams(w))
-            w.store.roll_back(copy)
+    async def test_removed_upstream_stays_removed(self) -> None:
+        async with router_environment(store=MemoryStore(era=1)) as env:
+            await env.add_engine("e1")
+            await env.add_engine("e2", born=BORN)
+            copy = env.store.copy()
+            env.put_engine("e2", born=BORN, seq=2, state="draining")
+            await wait_until(lambda: upstream_states(env)["e2"] is InstanceState.LEAVING)
+            env.store.put("keyed.servers", "e2", b"")
+            await wait_until(lambda: "e2" not in upstream_states(env))
+            env.store.roll_back(copy)
             for _ in range(20):
-                await trio.sleep(SHOWN_S / 20)
-                assert "e2" not in upstreams(w)
+                await trio.sleep(READ_S / 20)
+                assert "e2" not in upstream_states(env)
 
-    async def test_upstream_that_is_missing_in_the_copy_has_its_time(self) -> None:
-        async with world(store=MemoryStore(era=1)) as w:
-            await w.add_engine("e1", born=BORN)
-            copy = w.store.copy()
-            await w.add_engine("e2", born=BORN)
-            await w.add_engine("e3", born=BORN)
-            await trio.sleep(SHOWN_S)
-            w.store.roll_back(copy)
-            await trio.sleep(SHOWN_S)
-            w.put_engine("e2", born=BORN, seq=2)
-            await trio.sleep(RETURN_GRACE_S - 2 * SHOWN_S)
-            assert sorted(upstreams(w)) == ["e1", "e2", "e3"]
-            await trio.sleep(2 * SHOWN_S)
-            assert sorted(upstreams(w)) == ["e1", "e2"]
+    async def test_upstream_missing_in_the_copy_is_kept_for_a_grace_period(self) -> None:
+        async with router_environment(store=MemoryStore(era=1)) as env:
+            await env.add_engine("e1", born=BORN)
+            copy = env.store.copy()
+            await env.add_engine("e2", born=BORN)
+            await env.add_engine("e3", born=BORN)
+            await trio.sleep(READ_S)
+            env.store.roll_back(copy)
+            await trio.sleep(READ_S)
+            env.put_engine("e2", born=BORN, seq=2)
+            await trio.sleep(RETURN_GRACE_S - 2 * READ_S)
+            assert sorted(upstream_states(env)) == ["e1", "e2", "e3"]
+            await trio.sleep(2 * READ_S)
+            assert sorted(upstream_states(env)) == ["e1", "e2"]
 
 
 class TestRefusals:
-    """What the operator wrote in the lost seconds is written again, and may be newer."""
+    """The operator writes lost changes again, and these may be newer than the copy."""
 
-    async def test_none_is_final_before_that_may_have_come(self) -> None:
-        async with world(store=MemoryStore(era=1)) as w:
-            await w.add_engine("e1")
-            assert (await w.ask("/nowhere/x")).status == 404
-            w.store.roll_back(w.store.copy())
-            await trio.sleep(SHOWN_S)
-            await assert_outdated(await w.ask("/nowhere/x"))
-            await assert_outdated(await w.ask("/safe/x", NEW_KEY))
-            assert (await w.ask("/safe/x")).status == 200
+    async def test_no_refusal_is_final_within_the_rewrite_grace_period(self) -> None:
+        async with router_environment(store=MemoryStore(era=1)) as env:
+            await env.add_engine("e1")
+            assert (await env.send("/nowhere/x")).status == 404
+            env.store.roll_back(env.store.copy())
+            await trio.sleep(READ_S)
+            await assert_outdated(await env.send("/nowhere/x"))
+            await assert_outdated(await env.send("/safe/x", NEW_KEY))
+            assert (await env.send("/safe/x")).status == 200
             await trio.sleep(REWRITTEN_S)
-            assert (await w.ask("/nowhere/x")).status == 404
+            assert (await env.send("/nowhere/x")).status == 404
 
-    async def test_none_is_while_the_store_shows_a_replaced_version(self) -> None:
-        async with world(store=MemoryStore(era=1)) as w:
-            await w.add_engine("e1")
-            copy = w.store.copy()
-            w.store.put(CONFIGURATION, "config", desired_state(2))
-            await until(lambda: w.node.snapshot.version == 2)
-            w.store.roll_back(copy)
-            await trio.sleep(REWRITTEN_S + SHOWN_S)
-            await assert_outdated(await w.ask("/nowhere/x"))
-            assert w.node.ready
-            w.store.put(CONFIGURATION, "config", desired_state(2))
-            await until(w.node.configuration_is_current)
-            assert (await w.ask("/nowhere/x")).status == 404
+    async def test_no_refusal_is_final_while_the_store_holds_an_older_version(self) -> None:
+        async with router_environment(store=MemoryStore(era=1)) as env:
+            await env.add_engine("e1")
+            copy = env.store.copy()
+            env.store.put(CONFIGURATION, "config", desired_state(2))
+            await wait_until(lambda: env.node.snapshot.version == 2)
+            env.store.roll_back(copy)
+            await trio.sleep(REWRITTEN_S + READ_S)
+            await assert_outdated(await env.send("/nowhere/x"))
+            assert env.node.ready
+            env.store.put(CONFIGURATION, "config", desired_state(2))
+            await wait_until(env.node.configuration_is_current)
+            assert (await env.send("/nowhere/x")).status == 404
--- a/railtide/platform/tests/test_begun_again.py
+++ b/railtide/platform/tests/test_slow_transfers.py
@@ -1,4 +1,7 @@
-"""Limits that an answer can't meet, met again by each try that begins from nothing."""
+"""Reads that no single attempt can finish within its timeout or its connection's lifetime.
+
+Without adaptive timeouts and kept records, every attempt starts again and fails in the same way.
+"""
 
 from collections.abc import Callable
 from random import Random
@@ -22,8 +25,8 @@
 GUARD_S = 12.0
 
 
-async def until(condition: Callable[[], bool]) -> bool:
-    """Return whether a condition holds in the end."""
+async def wait_until(condition: Callable[[], bool]) -> bool:
+    """Return whether a condition becomes true within `GUARD_S`."""
     with trio.move_on_after(GUARD_S):
         while not condition():
             await trio.sleep(0.01)
@@ -31,8 +34,8 @@
 
 
 class TestSlowBody:
-    async def test_answer_whose_body_begins_late_behind_its_head_comes_in_the_end(self) -> None:
-        """The wait for a head doubles behind each try; that for what follows a head never does."""
+    async def test_answer_whose_body_follows_its_head_late_is_received(self) -> None:
+        """The timeout for the head doubles after failed attempts; the one for the body must too."""
         calls: list[bytes] = []
 
         async def slow(request: HttpRequest, responder: Responder) -> None:
@@ -49,39 +52,39 @@
             client = PlatformStore(f"{HOST}:{listener.socket.getsockname()[1]}", Counters())
             feed = Feed(client, TOPIC, FeedOptions(), Random(1), lambda records: None)
             nursery.start_soon(feed.run)
-            came = await until(lambda: feed.caught_up)
+            is_caught_up = await wait_until(lambda: feed.caught_up)
             nursery.cancel_scope.cancel()
-        assert came, f"{len(calls)} tries"
+        assert is_caught_up, f"{len(calls)} attempts"
 
 
 class TestStart:
-    async def test_first_read_over_a_link_that_breaks_before_a_page_has_come_moves_on(
+    async def test_first_read_over_a_link_that_breaks_within_each_page_progresses(
         self,
     ) -> None:
-        """Pages are kept, and a page is up to 1 MB: a start that gets less at once gets nothing."""
+        """Only complete pages of up to 1 MB were kept, so short connections read nothing."""
         memory = MemoryStore()
         for number in range(8):
             memory.put(TOPIC, f"k{number}", bytes(20_000))
         link = NarrowLink(LINK_BYTES_PER_S)
-        told: list[KeyedRecord] = []
+        reported: list[KeyedRecord] = []
         listener = await listen(HOST, 0)
         async with trio.open_nursery() as nursery:
             server = HttpServer(StoreServer(memory).handle, ConnectionLimits())
             nursery.start_soon(server.serve, listener)
             port = await link.open(nursery, HOST, listener.socket.getsockname()[1])
             client = PlatformStore(f"{HOST}:{port}", Counters())
-            feed = Feed(client, TOPIC, FeedOptions(), Random(1), told.extend)
+            feed = Feed(client, TOPIC, FeedOptions(), Random(1), reported.extend)
             nursery.start_soon(feed.run)
-            nursery.start_soon(_break_often, link)
-            came = await until(lambda: feed.caught_up)
-            passed = link.down.passed_bytes
+            nursery.start_soon(_reset_often, link)
+            is_caught_up = await wait_until(lambda: feed.caught_up)
+            received = link.down.passed_bytes
             nursery.cancel_scope.cancel()
-        assert came, f"{passed} bytes passed for 213,000"
+        assert is_caught_up, f"{received} bytes were transferred for 213,000"
 
 
-async def _break_often(link: NarrowLink) -> None:
+async def _reset_often(link: NarrowLink) -> None:
     while True:
-        aim = link.down.passed_bytes + 0.8 * LINK_BYTES_PER_S
-        while link.down.passed_bytes < aim:
+        target = link.down.passed_bytes + 0.8 * LINK_BYTES_PER_S
+        while link.down.passed_bytes < target:
             await trio.sleep(0.01)
         link.reset_open()
--- a/railtide/platform/tests/test_store.py
+++ b/railtide/platform/tests/test_store.py
@@ -1,4 +1,4 @@
-"""Tests of railtide.platform.store, against the stand-in of the store."""
+"""Tests of railtide.platform.store against a simulated store."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -30,7 +30,7 @@
         nursery.cancel_scope.cancel()
 
 
-class TestCalls:
+class TestOperations:
     async def test_records_come_back_as_they_were_appended(self) -> None:
         async with client_of(StoreServer(MemoryStore()).handle) as store:
             assert await store.append("keyed.t", {"a": b"1", "b": b"\x00\xff"}) == 2
@@ -44,7 +44,7 @@
             assert ([r.key for r in newest.records], newest.end) == (["b"], 3)
 
     @pytest.mark.parametrize("size", [1, 1_500])
-    async def test_newest_records_of_many_pages_come_whole(self, size: int) -> None:
+    async def test_newest_records_span_many_pages(self, size: int) -> None:
         memory = MemoryStore()
         for n in range(1_200):
             memory.put("keyed.t", f"k{n}", b"%d" % n * size)
@@ -53,7 +53,7 @@
         assert [(r.key, r.offset) for r in page.records] == [(f"k{n}", n) for n in range(1_200)]
         assert page.end == 1_200
 
-    async def test_page_that_is_full_tells_where_the_next_begins(self) -> None:
+    async def test_full_page_states_where_the_next_begins(self) -> None:
         memory = MemoryStore()
         for n in range(5):
             memory.put("keyed.t", f"k{n}", bytes(400_000))
@@ -63,7 +63,7 @@
         assert ([r.offset for r in first.records], first.end) == ([0, 1], 5)
         assert ([r.offset for r in second.records], second.next_offset) == ([2, 3], 4)
 
-    async def test_record_that_is_larger_than_a_page_comes_alone(self) -> None:
+    async def test_record_larger_than_a_page_is_returned_alone(self) -> None:
         memory = MemoryStore()
         memory.put("keyed.t", "a", bytes(1_500_000))
         memory.put("keyed.t", "b", b"1")
@@ -71,7 +71,7 @@
             page = await store.read("keyed.t", 0, 0.0)
             assert ([r.key for r in page.records], page.next_offset) == (["a"], 1)
 
-    async def test_lost_condition_and_expired_history_are_told_apart(self) -> None:
+    async def test_append_conflict_and_expired_records_are_distinguished(self) -> None:
         memory = MemoryStore()
         async with client_of(StoreServer(memory).handle) as store:
             await store.append("keyed.t", {"a": b"1"})
@@ -83,7 +83,7 @@
                 await store.read("keyed.t", 0, 0.0)
             assert expired.value.first == 1
 
-    async def test_long_read_ends_with_the_first_record(self) -> None:
+    async def test_long_poll_ends_with_the_first_record(self) -> None:
         memory = MemoryStore()
         async with client_of(StoreServer(memory).handle) as store:
             async with trio.open_nursery() as nursery:
@@ -92,7 +92,7 @@
                 memory.put("keyed.t", "a", b"1")
 
     @pytest.mark.parametrize("status", [429, 500, 503, 507])
-    async def test_refusals_are_no_answer(self, status: int) -> None:
+    async def test_unsuccessful_status_is_an_error(self, status: int) -> None:
         async def refuse(request: HttpRequest, responder: Responder) -> None:
             await responder.answer(status, ())
 
@@ -101,7 +101,7 @@
                 await store.newest("keyed.t")
 
     @pytest.mark.parametrize("body", [b"", b"not json", b'{"items": 3}'])
-    async def test_unreadable_answers_are_no_answer(self, body: bytes) -> None:
+    async def test_malformed_body_is_an_error(self, body: bytes) -> None:
         async def garble(request: HttpRequest, responder: Responder) -> None:
             await responder.answer(200, (), body)
 
@@ -109,7 +109,7 @@
             with pytest.raises(LogUnavailable):
                 await store.newest("keyed.t")
 
-    async def test_cut_record_is_no_answer(self) -> None:
+    async def test_truncated_record_is_an_error(self) -> None:
         async def cut(request: HttpRequest, responder: Responder) -> None:
             await responder.answer(200, (), bytes(16) + b"\x00\x00\x00\x09abc")
 
@@ -118,8 +118,8 @@
                 await store.read("keyed.t", 0, 0.0)
 
     @pytest.mark.parametrize("length", [0, 8, 15])
-    async def test_cut_head_of_a_page_is_no_answer(self, length: int) -> None:
-        """An answer without a length that was cut off looked like an empty page that ends at 0."""
+    async def test_truncated_page_header_is_an_error(self, length: int) -> None:
+        """A truncated answer without a length looked like an empty page with the end offset 0."""
 
         async def cut(request: HttpRequest, responder: Responder) -> None:
             await responder.answer(200, (), bytes(length))
@@ -128,7 +128,7 @@
             with pytest.raises(LogUnavailable):
                 await store.read("keyed.t", 0, 0.0)
 
-    async def test_nobody_there_is_no_answer(self) -> None:
+    async def test_refused_connection_is_an_error(self) -> None:
         listener = await listen(HOST, 0)
         port = listener.socket.getsockname()[1]
         await listener.aclose()
@@ -137,9 +137,9 @@
 
 
 class TestProgress:
-    """What has come is not asked for again."""
+    """Records that have been received are not read again."""
 
-    async def test_records_that_came_whole_are_kept_of_an_answer_that_breaks_off(self) -> None:
+    async def test_complete_records_of_a_truncated_answer_are_kept(self) -> None:
         record = b"\x00\x00\x00\x03\x01ax"
         head = (9).to_bytes(8, "big") + bytes(8)
 
@@ -153,18 +153,18 @@
         assert [record.offset for record in page.records] == [4, 5]
         assert (page.next_offset, page.end) == (6, 9)
 
-    async def test_a_read_of_the_newest_goes_on_behind_the_pages_that_came(self) -> None:
-        asked: list[str] = []
+    async def test_read_of_the_newest_resumes_after_the_received_pages(self) -> None:
+        after_params: list[str] = []
 
         async def two_pages(request: HttpRequest, responder: Responder) -> None:
             target = request.target.decode()
-            asked.append(target.partition("after=")[2])
-            if len(asked) in (2, 3):
+            after_params.append(target.partition("after=")[2])
+            if len(after_params) in (2, 3):
                 await responder.answer(503, ())
                 return
             key = "b" if "after=" in target else "a"
-            item = {"key": key, "value": "eA==", "offset": 1 + len(asked)}
-            end = 10 + len(asked)
+            item = {"key": key, "value": "eA==", "offset": 1 + len(after_params)}
+            end = 10 + len(after_params)
             page = {"items": [item], "has_more": key == "a", "end_offset": end}
             await responder.answer(200, (), msgspec.json.encode(page))
 
@@ -175,16 +175,16 @@
             page = await store.newest("keyed.t")
             await store.newest("keyed.t")
         assert [record.key for record in page.records] == ["a", "b"]
-        assert page.end == 11, "records from the first page's end on are read after it"
-        assert asked == ["", "a", "a", "a", "", "a"]
+        assert page.end == 11, "the end of the first page, from which later records are read"
+        assert after_params == ["", "a", "a", "a", "", "a"]
 
-    async def test_pages_of_long_ago_are_not_gone_on_with(self, monkeypatch) -> None:
+    async def test_old_pages_are_not_resumed(self, monkeypatch) -> None:
         monkeypatch.setattr("railtide.platform.store.RESUME_TTL_S", -1.0)
-        asked: list[str] = []
+        after_params: list[str] = []
 
         async def refuse_second(request: HttpRequest, responder: Responder) -> None:
-            asked.append(request.target.decode().partition("after=")[2])
-            if asked[-1]:
+            after_params.append(request.target.decode().partition("after=")[2])
+            if after_params[-1]:
                 await responder.answer(503, ())
                 return
             page = {"items": [{"key": "a", "value": "eA==", "offset": 1}], "has_more": True}
@@ -194,4 +194,4 @@
             for _ in range(2):
                 with pytest.raises(LogUnavailable):
                     await store.newest("keyed.t")
-        assert asked == ["", "a", "", "a"]
+        assert after_params == ["", "a", "", "a"]
--- a/railtide/platform/tests/test_foreign_records.py
+++ b/railtide/platform/tests/test_unusable_records.py
@@ -1,9 +1,8 @@
-"""Records that this router cannot use: of other writers, or of an engine's former life.
+"""Records that a router can't use: malformed ones, and those of an engine's former incarnation.
 
-Users saw an engine that was never used again after it had drained and started anew under its id,
-and routers that ended, or whose list of engines stood still, at the first record in the topic that
-no router could read. A life was told by the id alone; a record was taken to be readable because it
-was there. Evidence: the tests below, each of which failed with that outcome.
+An engine was never used again after it had drained and restarted under its id, since the id alone
+identified an incarnation. Routers ended, or their list of engines stopped changing, at the first
+malformed record, since every record was expected to be readable.
 """
 
 from base64 import b64encode
@@ -23,8 +22,8 @@
 from railtide.membership.instances import Instance, InstanceState
 from railtide.platform.desired_state import PlatformSources
 from railtide.platform.page import page_of
+from railtide.platform.tests.test_end_to_end import RouterEnvironment, body_of, router_environment
 from railtide.platform.tests.test_store import client_of
-from railtide.platform.tests.test_whole_path import World, body_of, world
 from railtide.standins.platform import engine_entry
 from railtide.upstreams.load import LoadReport
 from railtide.upstreams.notice import UpstreamNotice
@@ -39,7 +38,7 @@
 
 
 class TestEngineRecords:
-    def test_life_is_id_and_birth(self) -> None:
+    def test_incarnation_consists_of_id_and_birth(self) -> None:
         first, second = upstream_of(GOOD | {"born": 5}), upstream_of(GOOD | {"born": 6})
         assert (first.name, second.name) == ("i-1", "i-1")
         assert first.incarnation != second.incarnation
@@ -49,15 +48,15 @@
         assert upstream_of(GOOD | {"state": "draining"}).state is InstanceState.LEAVING
 
     @pytest.mark.parametrize("field", sorted(GOOD))
-    def test_entry_without_a_field_names_no_engine(self, field: str) -> None:
+    def test_entry_without_a_field_is_invalid(self, field: str) -> None:
         with pytest.raises(InvalidObject):
             upstream_of({name: value for name, value in GOOD.items() if name != field})
 
     @pytest.mark.parametrize("field", sorted([*GOOD, "born"]))
     @pytest.mark.parametrize("value", [None, [], {"a": 1}, True, 1.5])
-    def test_field_of_another_type_names_no_engine(self, field: str, value: object) -> None:
+    def test_field_of_another_type_is_invalid(self, field: str, value: object) -> None:
         if field == "warmup_left_ms" and value == 1.5:
-            return  # a time, which need not be whole
+            return  # a time, which may be fractional
         with pytest.raises(InvalidObject):
             upstream_of(GOOD | {field: value})
 
@@ -83,16 +82,16 @@
             b"[" * 100_000,
         ],
     )
-    def test_entry_of_another_writer_names_no_engine(self, entry: object) -> None:
+    def test_malformed_entry_is_invalid(self, entry: object) -> None:
         with pytest.raises(InvalidObject):
             upstream_of(entry)
 
     @given(st.binary(max_size=60))
-    def test_any_bytes_are_an_engine_or_invalid(self, value: bytes) -> None:
+    def test_random_bytes_are_invalid(self, value: bytes) -> None:
         with pytest.raises(InvalidObject):
             upstream_of(value)
 
-    def test_key_that_no_header_can_carry_names_no_engine(self) -> None:
+    def test_key_that_no_header_can_carry_is_invalid(self) -> None:
         with pytest.raises(InvalidObject):
             upstream_of(GOOD, key="i-1\r\nx-tenant: other")
 
@@ -118,7 +117,7 @@
 
 class TestPages:
     @pytest.mark.parametrize("unreadable", UNREADABLE.values(), ids=UNREADABLE.keys())
-    def test_unreadable_record_is_passed_over(self, unreadable: bytes) -> None:
+    def test_unreadable_record_is_skipped(self, unreadable: bytes) -> None:
         read = page_of(page(content(b"a"), unreadable, content(b"b")), start=4)
         assert [(r.key, r.offset) for r in read.records] == [("a", 4), ("b", 6)]
         assert (read.next_offset, read.unreadable, read.end) == (7, 1, 9)
@@ -128,12 +127,12 @@
         assert (read.records, read.next_offset) == ([], 7)
 
     @pytest.mark.parametrize("dropped", [1, 2, 3, 4, CUT])
-    def test_page_cut_short_is_no_answer(self, dropped: int) -> None:
+    def test_truncated_page_is_rejected(self, dropped: int) -> None:
         with pytest.raises(LogUnavailable):
             page_of(page(content(b"a"), content(b"b"))[:-dropped], start=0)
 
     @given(st.lists(st.binary(max_size=12)), st.integers(0, 40))
-    def test_page_is_whole_or_no_answer(self, contents: list[bytes], dropped: int) -> None:
+    def test_page_is_complete_or_rejected(self, contents: list[bytes], dropped: int) -> None:
         whole = page(*contents)
         data = whole[: len(whole) - dropped]
         try:
@@ -144,8 +143,8 @@
         assert read.next_offset == 3 + len(read.records) + read.unreadable
 
 
-def items_of(*items: bytes) -> Callable:
-    """Return a handler whose newest records are these, as they are written in JSON."""
+def items_handler(*items: bytes) -> Callable:
+    """Return a handler that answers with these newest records, given as JSON."""
 
     async def answer(request: HttpRequest, responder: Responder) -> None:
         body = b'{"items":[' + b",".join(items) + b'],"has_more":false,"end_offset":3}'
@@ -170,14 +169,14 @@
             b"17",
         ],
     )
-    async def test_unreadable_record_is_passed_over(self, item: bytes) -> None:
-        async with client_of(items_of(item, GOOD_ITEM)) as store:
+    async def test_unreadable_record_is_skipped(self, item: bytes) -> None:
+        async with client_of(items_handler(item, GOOD_ITEM)) as store:
             newest = await store.newest("keyed.t")
             assert [(r.key, r.value, r.offset) for r in newest.records] == [("a", b"v", 2)]
             assert (newest.end, newest.unreadable) == (3, 1)
 
-    async def test_next_page_is_asked_for_by_any_key(self) -> None:
-        """A key with a character that ends a query's value began the same page anew, for ever."""
+    async def test_key_is_escaped_in_the_query_for_the_next_page(self) -> None:
+        """An unescaped separator in a key made the client read the same page again for ever."""
         targets: list[bytes] = []
 
         async def answer(request: HttpRequest, responder: Responder) -> None:
@@ -191,7 +190,7 @@
             await store.newest("keyed.t")
         assert targets[1].endswith(b"&after=a%26b%20c")
 
-    async def test_pages_without_any_readable_key_end(self) -> None:
+    async def test_page_without_a_readable_key_is_rejected(self) -> None:
         async def answer(request: HttpRequest, responder: Responder) -> None:
             await responder.answer(200, (), b'{"items":[17],"has_more":true,"end_offset":3}')
 
@@ -200,18 +199,18 @@
                 await store.newest("keyed.t")
 
 
-async def settle(w: World) -> None:
-    """Let the router read what was appended: up to a record of a pool that is told from others."""
-    marker = f"marker-{w.store.topic('keyed.servers').end}"
+async def wait_until_read(env: RouterEnvironment) -> None:
+    """Wait until the router has read all records, up to a new one with a pool of its own."""
+    marker = f"marker-{env.store.topic('keyed.servers').end}"
     entry = engine_entry("10.0.0.9:1", marker)
-    w.store.put("keyed.servers", marker, msgspec.json.encode(entry))
+    env.store.put("keyed.servers", marker, msgspec.json.encode(entry))
     with trio.fail_after(10):
-        while marker not in w.node.schedulers_by_pool:
+        while marker not in env.node.schedulers_by_pool:
             await trio.sleep(0.01)
 
 
-async def ask(w: World) -> int:
-    answer = await w.ask("/safe/x")
+async def request_status(env: RouterEnvironment) -> int:
+    answer = await env.send("/safe/x")
     await body_of(answer)
     return answer.status
 
@@ -220,71 +219,71 @@
     @pytest.mark.parametrize("topic", ["keyed.servers", "keyed.op", "keyed.railtide-roster"])
     @pytest.mark.parametrize("unreadable", UNREADABLE.values(), ids=UNREADABLE.keys())
     async def test_unreadable_record_changes_nothing(self, topic: str, unreadable: bytes) -> None:
-        async with world() as w:
-            await w.add_engine("e1")
-            w.store.put_raw(topic, unreadable)
-            await settle(w)
-            await w.add_engine("e2")
-            assert await ask(w) == 200
-
-    async def test_known_id_with_an_unreadable_newest_entry_names_no_engine(self) -> None:
-        async with world() as w:
-            first = await w.add_engine("e1")
-            await w.add_engine("e2")
-            own = w.record_of("e1")
-            w.store.put("keyed.servers", "e1", b"not json")
-            await settle(w)
-            assert [await ask(w) for _ in range(8)] == [200] * 8
+        async with router_environment() as env:
+            await env.add_engine("e1")
+            env.store.put_raw(topic, unreadable)
+            await wait_until_read(env)
+            await env.add_engine("e2")
+            assert await request_status(env) == 200
+
+    async def test_engine_whose_newest_entry_is_unreadable_is_not_used(self) -> None:
+        async with router_environment() as env:
+            first = await env.add_engine("e1")
+            await env.add_engine("e2")
+            own = env.stored_entry("e1")
+            env.store.put("keyed.servers", "e1", b"not json")
+            await wait_until_read(env)
+            assert [await request_status(env) for _ in range(8)] == [200] * 8
             assert first.ran == []
-            w.store.put("keyed.servers", "e1", own)
-            w.store.put("keyed.servers", "e2", b"")
-            await settle(w)
-            assert await ask(w) == 200
+            env.store.put("keyed.servers", "e1", own)
+            env.store.put("keyed.servers", "e2", b"")
+            await wait_until_read(env)
+            assert await request_status(env) == 200
             assert len(first.ran) == 1
 
-    async def test_engine_that_drained_serves_again_when_it_is_born_anew(self) -> None:
-        async with world() as w:
-            engine = await w.add_engine("e1", born=BORN_MS)
-            w.put_engine("e1", state="draining", born=BORN_MS)
-            await settle(w)
-            assert await ask(w) == 503
-            w.put_engine("e1", state="ready", born=BORN_MS)
-            await settle(w)
-            assert await ask(w) == 503
-            w.put_engine("e1", state="ready", born=BORN_MS + 1)
-            await settle(w)
-            assert await ask(w) == 200
+    async def test_drained_engine_serves_again_as_a_new_incarnation(self) -> None:
+        async with router_environment() as env:
+            engine = await env.add_engine("e1", born=BORN_MS)
+            env.put_engine("e1", state="draining", born=BORN_MS)
+            await wait_until_read(env)
+            assert await request_status(env) == 503
+            env.put_engine("e1", state="ready", born=BORN_MS)
+            await wait_until_read(env)
+            assert await request_status(env) == 503
+            env.put_engine("e1", state="ready", born=BORN_MS + 1)
+            await wait_until_read(env)
+            assert await request_status(env) == 200
             assert len(engine.ran) == 1
 
-    async def test_late_record_of_the_former_life_takes_nothing_away(self) -> None:
-        async with world() as w:
-            await w.add_engine("e1", born=BORN_MS)
-            w.put_engine("e1", born=BORN_MS + 1)
-            w.put_engine("e1", state="draining", born=BORN_MS)
-            await settle(w)
-            assert await ask(w) == 200
+    async def test_late_record_of_a_former_incarnation_is_ignored(self) -> None:
+        async with router_environment() as env:
+            await env.add_engine("e1", born=BORN_MS)
+            env.put_engine("e1", born=BORN_MS + 1)
+            env.put_engine("e1", state="draining", born=BORN_MS)
+            await wait_until_read(env)
+            assert await request_status(env) == 200
 
     async def test_foreign_entry_does_not_make_leaving_sticky(self) -> None:
-        async with world() as w:
-            await w.add_engine("e1", born=BORN_MS)
-            w.put_engine("e1", service="unknown", state="draining", born=BORN_MS)
-            await settle(w)
-            w.put_engine("e1", born=BORN_MS)
-            await settle(w)
-            assert await ask(w) == 200
-
-    async def test_nothing_of_the_former_life_is_kept(self) -> None:
-        async with world() as w:
-            await w.add_engine("e1", born=BORN_MS)
-            assert await ask(w) == 200
-            by_name = w.node.schedulers_by_pool["s"].by_name
+        async with router_environment() as env:
+            await env.add_engine("e1", born=BORN_MS)
+            env.put_engine("e1", service="unknown", state="draining", born=BORN_MS)
+            await wait_until_read(env)
+            env.put_engine("e1", born=BORN_MS)
+            await wait_until_read(env)
+            assert await request_status(env) == 200
+
+    async def test_state_of_a_former_incarnation_is_discarded(self) -> None:
+        async with router_environment() as env:
+            await env.add_engine("e1", born=BORN_MS)
+            assert await request_status(env) == 200
+            by_name = env.node.schedulers_by_pool["s"].by_name
             former = by_name["e1"]
             former.failures, former.ejected_until = 5, trio.current_time() + 60
-            w.put_engine("e1", born=BORN_MS + 1)
-            await settle(w)
-            by_name = w.node.schedulers_by_pool["s"].by_name
-            told = UpstreamNotice(LoadReport(8, 90, False, trio.current_time()))
-            w.node.take_notice(former.instance, told)
+            env.put_engine("e1", born=BORN_MS + 1)
+            await wait_until_read(env)
+            by_name = env.node.schedulers_by_pool["s"].by_name
+            notice = UpstreamNotice(LoadReport(8, 90, False, trio.current_time()))
+            env.node.take_notice(former.instance, notice)
             assert by_name["e1"].report is None
             assert (by_name["e1"].failures, by_name["e1"].open_requests) == (0, 0)
-            assert await ask(w) == 200
+            assert await request_status(env) == 200
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -20,7 +20,7 @@
 SINGLE = "tests/matrix/test_single.py"
 LEDGERS = "railtide/budgets/tests"
 PLATFORM = "railtide/platform/tests"
-ENDS = "railtide/platform/tests/test_answer_ends.py"
+ENDS = "railtide/platform/tests/test_answer_endings.py"
 HTTP = "railtide/http/tests"
 MEMBERSHIP = "railtide/membership/tests"
 CONTAINMENT = "railtide/containment/tests"
@@ -30,19 +30,19 @@
 CHECKPOINT = "railtide/journal/tests/test_checkpoint.py"
 SUSPENSION = "tests/test_suspension.py"
 EDGE = "railtide/edge/tests"
-OUTDATED = "railtide/platform/tests/test_outdated_view.py"
+OUTDATED = "railtide/platform/tests/test_outdated_configuration.py"
 LARGE = "railtide/platform/tests/test_large_desired_state.py"
-NARROW = "railtide/platform/tests/test_narrow_store.py"
+NARROW = "railtide/platform/tests/test_slow_link.py"
 FEED = "railtide/journal/tests/test_feed.py"
 PATIENCE = "railtide/journal/tests/test_patience.py"
 HEDGE = "railtide/journal/tests/test_hedge.py"
 STORE = "railtide/platform/tests/test_store.py"
-KEPT_PAGES = "railtide/platform/tests/test_kept_pages.py"
-CALL_OF_BEFORE = "test_call_of_before_a_return_waits_no_longer_than_a_first_one"
-KEPT = "test_whole_records_of_a_read_are_not_read_again[True]"
-REST_DUE = "test_feed_is_not_current_before_the_rest_has_come"
+KEPT_PAGES = "railtide/platform/tests/test_resumed_newest.py"
+CALL_OF_BEFORE = "test_grown_timeout_ends_when_the_store_answers_again"
+KEPT = "test_complete_records_are_not_read_again[True]"
+REST_DUE = "test_feed_is_not_current_before_the_remaining_records_arrive"
 FRESHNESS = "railtide/journal/tests/test_feed_freshness.py"
-BROKEN_NEWEST = "test_connection_that_never_lives_for_the_newest_moves_on"
+BROKEN_NEWEST = "test_reads_progress_over_connections_too_short_for_the_newest"
 ERAS = "railtide/journal/tests/test_eras.py"
 STORE_ERAS = "railtide/platform/tests/test_eras.py"
 FEED_ERAS = "railtide/journal/tests/test_feed_eras.py"
@@ -59,7 +59,7 @@
 LIMIT_SHARES = "railtide/upstreams/tests/test_limit_shares.py"
 LEAVING = "railtide/platform/tests/test_leaving_engines.py"
 RESTING = "railtide/platform/tests/test_resting_engines.py"
-PLATFORM_LIMITS = "railtide/platform/tests/test_stated_limits.py"
+PLATFORM_LIMITS = "railtide/platform/tests/test_advertised_limits.py"
 TIMEOUT_S = 150
 SURVIVORS: tuple[str, ...] = ()
 
@@ -388,7 +388,7 @@
         "edge/pools.py",
         " and known.instance.incarnation == upstream.incarnation",
         "",
-        (f"{PLATFORM}/test_foreign_records.py",),
+        (f"{PLATFORM}/test_unusable_records.py",),
     ),
     Mutant(
         "load-names-nobody-more",
@@ -1089,7 +1089,7 @@
         "edge/node.py",
         "known and self.treasury.ready and self._marks_known() and not self.leaving",
         "known and self.treasury.ready and not self.leaving",
-        (f"{PLATFORM}/test_waking.py",),
+        (f"{PLATFORM}/test_wake_from_suspension.py",),
     ),
     Mutant(
         "address-where-nobody-listens-is-tried-again",
@@ -1124,14 +1124,14 @@
         "edge/waking.py",
         "        self._rereads = [refresh() for refresh in self._refreshes]\n",
         "",
-        (f"{PLATFORM}/test_waking.py",),
+        (f"{PLATFORM}/test_wake_from_suspension.py",),
     ),
     Mutant(
         "waiting-read-outlasts-a-suspension",
         "journal/feed.py",
         "            self._reading.cancel()\n",
         "            pass\n",
-        (f"{PLATFORM}/test_waking.py",),
+        (f"{PLATFORM}/test_wake_from_suspension.py",),
     ),
     Mutant(
         "all-ledgers-that-are-due-in-one-append",
@@ -1521,7 +1521,7 @@
         "http/stall.py",
         "self._set_due(trio.current_time() + self._stall_s)",
         "self._set_due(trio.current_time() + 600)",
-        (f"{NARROW}::TestSilence",),
+        (f"{NARROW}::TestUnresponsiveStore",),
     ),
     Mutant(
         "large-request-is-not-waited-for",
@@ -1535,7 +1535,7 @@
         "platform/store.py",
         "        if isinstance(err, Stalled):\n            self._pool.drop_idle()\n",
         "        if isinstance(err, Stalled):\n",
-        (f"{NARROW}::TestSilence",),
+        (f"{NARROW}::TestUnresponsiveStore",),
     ),
     Mutant(
         "store-that-is-heard-has-one-longer-wait",
@@ -1570,7 +1570,7 @@
         "journal/feed.py",
         "if not self.freshness.is_reading():",
         "if True:",
-        (f"{PLATFORM}/test_refresh.py",),
+        (f"{PLATFORM}/test_cancelled_reads.py",),
     ),
     Mutant(
         "pause-before-the-read-that-waits",
@@ -1606,14 +1606,14 @@
         "        self._newest_read_by_partition.pop((topic, partition), None)\n"
         "        self._report_unreadable(topic, page.unreadable)\n",
         "        self._report_unreadable(topic, page.unreadable)\n",
-        (f"{PLATFORM}/test_kept_pages.py",),
+        (f"{PLATFORM}/test_resumed_newest.py",),
     ),
     Mutant(
         "newest-of-some-time-ago-count-as-current",
         "journal/feed.py",
         "self.freshness.note_newer()  # what came",
         "self.freshness.note_complete()  # what came",
-        (f"{PLATFORM}/test_kept_pages.py",),
+        (f"{PLATFORM}/test_resumed_newest.py",),
     ),
     Mutant(
         "rest-of-an-answer-is-waited-for",
@@ -1669,7 +1669,7 @@
         "journal/hedge.py",
         "                await self._run(self._beside)\n",
         "                await trio.sleep_forever()\n",
-        (HEDGE, f"{NARROW}::TestSilence"),
+        (HEDGE, f"{NARROW}::TestUnresponsiveStore"),
     ),
     Mutant(
         "two-answers-of-one-call-are-read",
@@ -1683,28 +1683,28 @@
         "platform/store.py",
         'transfer.note_silent(err or LogUnavailable(f"{operation.path}: no response yet"))',
         "pass",
-        (f"{NARROW}::TestSilence",),
+        (f"{NARROW}::TestUnresponsiveStore",),
     ),
     Mutant(
         "replaced-configuration-is-served-though-others-stand-in",
         "platform/ingress.py",
         "        self._node.check_in_force()\n",
         "",
-        (f"{OUTDATED}::TestReplacedState",),
+        (f"{OUTDATED}::TestSupersededState",),
     ),
     Mutant(
         "routers-that-are-all-behind-refuse-all",
         "membership/roster.py",
         "        if self.is_named():\n            return False\n",
         "",
-        (f"{OUTDATED}::TestReplacedState",),
+        (f"{OUTDATED}::TestSupersededState",),
     ),
     Mutant(
         "routers-that-are-behind-stand-in-for-each-other",
         "membership/roster.py",
         "return any(router is not None and not router.member.behind for router in heard)",
         "return bool(heard)",
-        (f"{OUTDATED}::TestReplacedState",),
+        (f"{OUTDATED}::TestSupersededState",),
     ),
     Mutant(
         "part-of-a-page-is-thrown-away",
@@ -1712,7 +1712,7 @@
         "            if response.status == OK and "
         "newest_read.add_partial(complete_items(response.body)):\n",
         "            if False:\n",
-        (f"{PLATFORM}/test_begun_again.py", KEPT_PAGES),
+        (f"{PLATFORM}/test_slow_transfers.py", KEPT_PAGES),
     ),
     Mutant(
         "part-of-a-page-ends-where-the-rest-says",
@@ -1741,7 +1741,7 @@
         "budgets/ledger_partition.py",
         "Transfer(self._leave_if_newest_are_less, on_silent=self._note_silent)",
         "Transfer(self._leave_if_newest_are_less)",
-        (f"{NARROW}::TestSilentLedgers",),
+        (f"{NARROW}::TestUnresponsiveStoreForLedgers",),
     ),
     Mutant(
         "wait-for-an-answer-grows-without-end",
@@ -1853,7 +1853,7 @@
         "journal/feed.py",
         "if large and known and waiting",
         "if large and waiting",
-        (f"{NARROW}::TestBrokenAnswer::test_whole_records_of_a_read_are_not_read_again",),
+        (f"{NARROW}::TestBrokenAnswer::test_complete_records_are_not_read_again",),
     ),
     Mutant(
         "newest-are-begun-again-behind-each-break",
