--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -388,7 +388,7 @@
         "edge/pools.py",
         " and known.instance.incarnation == upstream.incarnation",
         "",
-        (f"{PLATFORM}/test_unusable_records.py",),
+        (f"{PLATFORM}/test_invalid_records.py",),
     ),
     Mutant(
         "load-names-nobody-more",
