--- a/bench/policy.py
+++ b/bench/policy.py
@@ -1,6 +1,6 @@
 """Budget policy on a virtual clock: adaptive grants, fixed grants, equal static shares.
 
-Run ``python -m bench.policy``. Real treasuries and the real fold; the log is in memory with a
+Run ``python -m bench.policy``. Real budget sources and the real fold; the log is in memory with a
 delay, and each router can be cut off from it. A false refusal is one made while the budget, with
 all that is in hands, would have covered the request.
 """
@@ -15,16 +15,16 @@
 
 from railtide.budgets.balance import available
 from railtide.budgets.errors import BudgetError
+from railtide.budgets.grant_sizing import AdaptiveSizing, EqualShares, FixedSizing, GrantSizing
+from railtide.budgets.log_budget_source import Epoch, LogBudgetSource
 from railtide.budgets.messages import TopUp
-from railtide.budgets.sizing import AdaptiveSizing, EqualShares, FixedSizing, GrantSizing
-from railtide.budgets.treasury import Epoch, Treasury
 from railtide.configuration.messages import Proposal
 from railtide.configuration.models import AccountSettings
-from railtide.journal.entries import Code, Entry
+from railtide.journal.entries import Entry, VerdictCode
 from railtide.journal.fold import fold
 from railtide.journal.state import State
 from railtide.journal.writer import Writer
-from railtide.membership.messages import Open
+from railtide.membership.messages import OpenHolder
 from railtide.requests.messages import Bill, Intent
 
 ROUTERS = 4
@@ -39,11 +39,11 @@
 
 @dataclass
 class Node:
-    """One router: its treasury, and whether it reaches the log."""
+    """One router: its budget source, and whether it reaches the log."""
 
     name: str
     reachable: bool = True
-    treasury: Treasury | None = None
+    budgets: LogBudgetSource | None = None
     writers: list[Writer] = field(default_factory=list)
 
 
@@ -54,7 +54,7 @@
         self.state = State()
         self.nodes: dict[str, Node] = {}
         self._operator = Writer("operator", lambda entry, trace: self._fold([entry]))
-        self._operator.submit(Open("operator", "", "", "operator", 0))
+        self._operator.submit(OpenHolder("operator", "", "", "operator", 0))
         self._operator.submit(Proposal("account", ACCOUNT, 0, b"{}"))
 
     def top_up(self, units: int, name: str) -> None:
@@ -63,15 +63,15 @@
 
     def _fold(self, entries: list[Entry]) -> None:
         for folded in fold(self.state, self.state.offset + 1, 1, entries):
-            if folded.verdict.code == Code.BUDGET_EXHAUSTED:
+            if folded.verdict.code == VerdictCode.BUDGET_EXHAUSTED:
                 for node in self.nodes.values():
                     if node.reachable:
-                        node.treasury.give_back(ACCOUNT)
+                        node.budgets.return_idle(ACCOUNT)
             node = self.nodes.get(folded.holder)
             if node:
                 writer = node.writers[0]
-                ticket = writer.take_verdict(folded.verdict)
-                node.treasury.take_ticket(node.treasury.epoch, ticket)
+                submission = writer.apply_verdict(folded.verdict)
+                node.budgets.apply_grant_verdict(node.budgets.epoch, submission)
 
     async def run(self) -> None:
         """Fold what nodes have written, every `LOG_S`."""
@@ -82,20 +82,20 @@
                     self._fold([e for writer in node.writers for e in writer.pending()])
 
     def add_node(self, name: str, sizing: Callable[[], GrantSizing]) -> Node:
-        """Return a node with a treasury of its own."""
+        """Return a node with a budget source of its own."""
         node = Node(name)
 
         def open_epoch() -> Epoch:
             writer = Writer(name, lambda entry, trace: None)
             node.writers.append(writer)
-            writer.submit(Open(name, "", "", "router", 0))
+            writer.submit(OpenHolder(name, "", "", "router", 0))
             return Epoch(writer)
 
         policy = sizing()
-        node.treasury = Treasury(
+        node.budgets = LogBudgetSource(
             open_epoch, lambda: node.reachable, lambda settings: ROUTERS, lambda settings: policy
         )
-        node.treasury.begin()
+        node.budgets.begin()
         self.nodes[name] = node
         return node
 
@@ -138,7 +138,7 @@
         cost = self._rng.randint(10, reserve)
         deadline = trio.current_time() + 5
         try:
-            held = await node.treasury.reserve(ACCOUNT, self.settings, reserve, deadline)
+            held = await node.budgets.reserve(ACCOUNT, self.settings, reserve, deadline)
         except BudgetError:
             self.result.refused += 1
             self.result.false_refusals += self.paid - self.used >= reserve
@@ -235,7 +235,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(trial.log.run)
             for node in trial.nodes:
-                nursery.start_soon(node.treasury.run)
+                nursery.start_soon(node.budgets.run)
             await scenario(trial)
             await trio.sleep(2)
             nursery.cancel_scope.cancel()
--- a/bench/transfers.py
+++ b/bench/transfers.py
@@ -11,16 +11,16 @@
 import msgspec
 
 from railtide.budgets.ledger import Holding, Ledger, ledger_from_bytes, ledger_to_bytes
-from railtide.budgets.spend_limit import Reading, SpendLimit
-from railtide.containment.blame import blamed
-from railtide.containment.evidence import Mark
+from railtide.budgets.spend_limit import ClockReading, SpendLimit
+from railtide.containment.blame import assign_blame
+from railtide.containment.observations import CrashObservation
 from railtide.containment.records import record_key, record_value
 from railtide.journal.entries import batch_to_bytes, make_entry
 from railtide.journal.keyed import KeyedRecord
-from railtide.membership.addresses import Entrance
-from railtide.membership.entrance_set import Candidate, EntranceSetOptions, chosen_entrances
+from railtide.membership.addresses import RouterEndpoint
 from railtide.membership.instances import Instance
 from railtide.membership.roster import Member
+from railtide.membership.router_selection import Candidate, SelectionOptions, select_routers
 from railtide.platform.desired_state import PlatformSources
 from railtide.requests.messages import Answer, Bill
 from railtide.wire.codec import message_from_bytes, message_to_bytes
@@ -91,12 +91,14 @@
 
 
 def mark() -> tuple[str, bytes]:
-    found = Mark("c" * 32, "a" * 16, 1.79e9, ran_s=0.123, router="edge-region-1-0123")
+    found = CrashObservation(
+        "c" * 32, "a" * 16, 1.79e9, elapsed_s=0.123, router="edge-region-1-0123"
+    )
     return record_key(found), record_value(found, "engine-01234")
 
 
 def ledger(holders: int) -> tuple[str, bytes]:
-    limit = SpendLimit(Reading("b" * 36, 123456.7, 1.79e9), 1_234_567, 12_345, 1_234, 0.5)
+    limit = SpendLimit(ClockReading("b" * 36, 123456.7, 1.79e9), 1_234_567, 12_345, 1_234, 0.5)
     by_instance = {
         f"edge-region-1-{number:04}": Holding(
             f"{number:012x}", 1_234_567, 1_234_000, 12_345, limit, None, "10.12.34.56:8080"
@@ -226,9 +228,12 @@
     """Return what a router works out of a transfer at once, while all else waits."""
     sources = PlatformSources()
     state_now, state = state_record(ROUTES_NOW, 24), state_record(ROUTES_NOW, BUDGETS)
-    marks = [Mark(f"{n:032x}", f"{n % 500:016x}", 1e9 + n % 500, ran_s=0.1) for n in range(4_096)]
+    marks = [
+        CrashObservation(f"{n:032x}", f"{n % 500:016x}", 1e9 + n % 500, elapsed_s=0.1)
+        for n in range(4_096)
+    ]
     candidates = [
-        Candidate(Entrance(f"edge-{n:04}", "10.0.0.1:80", f"zone-{n % 23}"), 200.0, 79.0)
+        Candidate(RouterEndpoint(f"edge-{n:04}", "10.0.0.1:80", f"zone-{n % 23}"), 200.0, 79.0)
         for n in range(NODES)
     ]
     members = message_to_bytes(MembersMessage([instance(n) for n in range(NODES + ENGINES)]))
@@ -236,8 +241,8 @@
     return {
         "desired state of 1,880 routes": lambda: sources.snapshot_of(state_now),
         "desired state of 1,880 routes and 310,000 tenants": lambda: sources.snapshot_of(state),
-        "blame of 4,096 marks of 500 lives": lambda: blamed(marks),
-        "choice among 1,100 routers": lambda: chosen_entrances(candidates, EntranceSetOptions()),
+        "blame of 4,096 marks of 500 lives": lambda: assign_blame(marks),
+        "choice among 1,100 routers": lambda: select_routers(candidates, SelectionOptions()),
         "list of 11,100 members": lambda: message_from_bytes(members),
         "467 ledgers with 8 holders": lambda: [ledger_from_bytes(few) for _ in range(467)],
     }
--- a/railtide/budgets/tests/test_large_partition.py
+++ b/railtide/budgets/tests/test_large_partition.py
@@ -4,11 +4,11 @@
 
 import trio
 
+from railtide.budgets.allocation_sizing import LedgerOptions
 from railtide.budgets.errors import BudgetUnavailable
-from railtide.budgets.hand_size import LedgerOptions
 from railtide.budgets.ledger import Holding, Ledger, ledger_to_bytes
-from railtide.budgets.ledger_treasury import LedgerTreasury
-from railtide.budgets.spend_limit import Reading, SpendLimit
+from railtide.budgets.ledger_budget_source import LedgerBudgetSource
+from railtide.budgets.spend_limit import ClockReading, SpendLimit
 from railtide.configuration.models import AccountSettings
 from railtide.journal.keyed import KeyedPage
 from railtide.standins.keyed_store import MemoryStore
@@ -23,7 +23,7 @@
 
 
 def ledger_of_a_fleet() -> Ledger:
-    limit = SpendLimit(Reading("b" * 36, 1e5, 1.8e9), 100_000, 10_000, 1_000, 0.5)
+    limit = SpendLimit(ClockReading("b" * 36, 1e5, 1.8e9), 100_000, 10_000, 1_000, 0.5)
     holdings = {
         f"edge-{number}": Holding(f"{number:012x}", 0, 0, 1_000, limit, None, "10.0.0.1:8080")
         for number in range(ROUTERS)
@@ -40,8 +40,8 @@
     return store
 
 
-def treasury(store: MemoryStore) -> LedgerTreasury:
-    made = LedgerTreasury(store, "new", "new-1", lambda: 2, OPTIONS, address="10.0.0.2:8080")
+def make_source(store: MemoryStore) -> LedgerBudgetSource:
+    made = LedgerBudgetSource(store, "new", "new-1", lambda: 2, OPTIONS, address="10.0.0.2:8080")
     made.set_prepaid({f"account-{number}": 1_000_000 for number in range(ACCOUNTS)})
     return made
 
@@ -53,20 +53,20 @@
 
     async def test_hands_are_filled_in_several_calls(self, autojump_clock) -> None:
         """In one call for all, each try was refused and the next one was the same."""
-        made = treasury(store_of_a_fleet())
-        made.spread()
+        made = make_source(store_of_a_fleet())
+        made.enable_preallocation()
         (part,) = made.partitions
         async with trio.open_nursery() as nursery:
             nursery.start_soon(made.run)
             await trio.sleep(2)
-            filled = sum(known.hand.granted > 0 for known in part.hand_by_account.values())
+            filled = sum(known.allocation.granted > 0 for known in part.budget_by_account.values())
             assert filled == ACCOUNTS
             nursery.cancel_scope.cancel()
 
     async def test_others_are_heard_while_more_is_due_than_is_done(self, autojump_clock) -> None:
         store = store_of_a_fleet()
-        made = treasury(store)
-        made.spread()
+        made = make_source(store)
+        made.enable_preallocation()
         (part,) = made.partitions
         async with trio.open_nursery() as nursery:
             nursery.start_soon(made.run)
@@ -79,14 +79,14 @@
     async def test_who_waits_goes_first(self, autojump_clock) -> None:
         """All hands are due at once; a call takes 0.1 s, and 24 of them hold all ledgers."""
         store = store_of_a_fleet()
-        made = treasury(store)
+        made = make_source(store)
         async with trio.open_nursery() as nursery:
             store.delay_s = 0.1
             nursery.start_soon(made.run)
             name = f"account-{ACCOUNTS - 1}"
             settings = AccountSettings(budget_wait_s=5.0)
             await trio.sleep(12)
-            made.spread()
+            made.enable_preallocation()
             began = trio.current_time()
             (await made.reserve(name, settings, 500_000, began + 9)).settle(500)
             assert trio.current_time() - began < 0.45
@@ -97,8 +97,8 @@
     ) -> None:
         """Forty accounts have traffic; to report it takes three calls, and is due by each."""
         store = store_of_a_fleet()
-        made = treasury(store)
-        made.spread()
+        made = make_source(store)
+        made.enable_preallocation()
         (part,) = made.partitions
         settings = AccountSettings(budget_wait_s=0.1)
         async with trio.open_nursery() as nursery:
@@ -111,7 +111,7 @@
                     with suppress(BudgetUnavailable):
                         until = trio.current_time() + 0.1
                         (await made.reserve(f"account-{number}", settings, 50, until)).settle(50)
-            grown = [known.hand.granted for known in part.hand_by_account.values()]
+            grown = [known.allocation.granted for known in part.budget_by_account.values()]
             assert min(grown) > 15_000
             nursery.cancel_scope.cancel()
 
@@ -128,13 +128,13 @@
         super().__init__()
         self.bytes_read = 0
 
-    async def newest(self, topic: str, partition: int = 0, transfer=None) -> KeyedPage:
-        return await self._carry(await super().newest(topic, partition, transfer))
+    async def newest(self, topic: str, partition: int = 0, progress=None) -> KeyedPage:
+        return await self._carry(await super().newest(topic, partition, progress))
 
     async def read(
-        self, topic: str, start: int, wait_s: float, partition: int = 0, transfer=None
+        self, topic: str, start: int, wait_s: float, partition: int = 0, progress=None
     ) -> KeyedPage:
-        return await self._carry(await super().read(topic, start, wait_s, partition, transfer))
+        return await self._carry(await super().read(topic, start, wait_s, partition, progress))
 
     async def _carry(self, page: KeyedPage) -> KeyedPage:
         size = sum(len(record.value) for record in page.records)
@@ -154,7 +154,7 @@
     async def test_grant_comes_beside_others_that_append(self, autojump_clock) -> None:
         """All 400 ledgers take 5.6 s, within which others always append: no try ever won."""
         store = store_of_a_fleet(NarrowStore())
-        made = treasury(store)
+        made = make_source(store)
         settings = AccountSettings(budget_wait_s=5.0)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(made.run)
@@ -170,7 +170,7 @@
         store = NarrowStore()
         value = ledger_to_bytes(ledger_of_a_fleet())
         store.put(OPTIONS.topic, "account-0", value)
-        made = treasury(store)
+        made = make_source(store)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(made.run)
             nursery.start_soon(store.change, "account-1", 0.002)
@@ -180,7 +180,7 @@
 
     async def test_history_that_is_gone_is_read_from_the_newest(self, autojump_clock) -> None:
         store = store_of_a_fleet(NarrowStore())
-        made = treasury(store)
+        made = make_source(store)
         (part,) = made.partitions
         async with trio.open_nursery() as nursery:
             nursery.start_soon(made.run)
@@ -189,5 +189,5 @@
             store.put(OPTIONS.topic, "account-7", ledger_to_bytes(changed))
             store.topic(OPTIONS.topic).forget()
             await trio.sleep(20)
-            assert part.hand("account-7").is_spent(1)
+            assert part.budget("account-7").is_spent(1)
             nursery.cancel_scope.cancel()
--- a/railtide/budgets/tests/test_losses.py
+++ b/railtide/budgets/tests/test_losses.py
@@ -22,11 +22,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from railtide.budgets.allocation_sizing import LedgerOptions
 from railtide.budgets.errors import BudgetError
-from railtide.budgets.hand_size import LedgerOptions
 from railtide.budgets.ledger import Ledger, committed, ledger_from_bytes
-from railtide.budgets.ledger_treasury import LedgerTreasury
-from railtide.budgets.spend_limit import Clocks, Reading
+from railtide.budgets.ledger_budget_source import LedgerBudgetSource
+from railtide.budgets.spend_limit import ClockReading, Clocks
 from railtide.configuration.models import AccountSettings
 from railtide.standins.keyed_store import MemoryStore
 
@@ -48,10 +48,10 @@
         self._boot = boot
         self._began_at = trio.current_time()
 
-    def read(self) -> Reading:
+    def read(self) -> ClockReading:
         """Return what they say now."""
         now = trio.current_time()
-        return Reading(self._boot, now - self._began_at, 1e9 + now)
+        return ClockReading(self._boot, now - self._began_at, 1e9 + now)
 
 
 class Machines:
@@ -88,11 +88,11 @@
     async def _serve(self, name: str, idle_s: float) -> None:
         boot = f"{name}-{self._boots}"
         routers = len(self._names)
-        made = LedgerTreasury(
+        made = LedgerBudgetSource(
             self.store, name, boot, lambda: routers, OPTIONS, clocks=BootClocks(boot)
         )
         made.set_prepaid({ACCOUNT: self._budget})
-        made.spread()
+        made.enable_preallocation()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(made.run)
             await trio.sleep(idle_s)
@@ -100,7 +100,7 @@
                 nursery.start_soon(self._request, made)
                 await trio.sleep(AMOUNT / RATE)
 
-    async def _request(self, made: LedgerTreasury) -> None:
+    async def _request(self, made: LedgerBudgetSource) -> None:
         self.asked += AMOUNT
         try:
             reserved = await made.reserve(ACCOUNT, SETTINGS, AMOUNT, trio.current_time() + 1)
--- a/railtide/platform/calls.py
+++ b/railtide/platform/calls.py
@@ -11,7 +11,7 @@
 from railtide.platform import header_names
 from railtide.requests.call import Call, Prices, Usage, cost_of
 from railtide.requests.errors import InvalidRequest, Unauthorized, UnknownRoute
-from railtide.upstreams.choice import Affinity
+from railtide.upstreams.balancing import Affinity
 
 __all__ = ["call_of"]
 
@@ -73,7 +73,7 @@
         stream=route.stream,
         repeatable=route.repeatable,
         affinity=_affinity_of(request, tokens),
-        attempts=route.attempts,
+        max_attempts=route.attempts,
         goal_s=route.goal_s,
         pause_goal_s=route.pause_goal_s,
         rank=priority,
@@ -86,7 +86,7 @@
 
 
 def _account_of(request: HttpRequest, snapshot: Snapshot, route: Route) -> AccountTerms | None:
-    if route.public or not snapshot.keyed:
+    if route.public or not snapshot.requires_api_key:
         return None
     key = (first_header(request.headers, header_names.API_KEY) or b"").decode("latin-1")
     account = snapshot.account_by_key.get(key)
--- a/railtide/platform/program.py
+++ b/railtide/platform/program.py
@@ -9,7 +9,7 @@
 from prometheus_client import CONTENT_TYPE_LATEST, generate_latest
 from pydantic import BaseModel, Field
 
-from railtide.budgets.hand_size import LedgerOptions
+from railtide.budgets.allocation_sizing import LedgerOptions
 from railtide.clocks import BootTimeClock
 from railtide.configuration.snapshot import Snapshot
 from railtide.edge.node import EdgeNode
@@ -74,7 +74,7 @@
     log_level: str = "INFO",
     metrics_port: int = METRICS_PORT,
     budget_horizon_s: float = LedgerOptions.horizon_s,
-    budget_most_share: float = LedgerOptions.most_share,
+    budget_most_share: float = LedgerOptions.max_preallocated_share,
     budget_spread_share: float = LedgerOptions.spread_share,
 ) -> None:
     """Serve callers' requests within their prepaid budgets, on the platform.
@@ -115,8 +115,8 @@
     options = _options(boot, settings)
     clocks = kernel_clocks()
     node = EdgeNode(identity, store, PlatformSources(), upstreams, options, rng, clocks)
-    upstreams.on_notice = node.take_notice
-    limits = ConnectionLimits(doubt_s=node.limits_doubt_s)
+    upstreams.on_notice = node.apply_notice
+    limits = ConnectionLimits(doubt_s=node.limits_retry_after_s)
     observe("store_era", "1", lambda: float(NO_ERA if store.era is None else store.era))
     observe_each("read_age", "s", "topic", node.read_ages_s)
     node.on_snapshot = partial(_apply_limits, limits)
@@ -144,11 +144,11 @@
         ledger=LedgerOptions(
             partitions=min(LEDGER_PARTITIONS, boot.store_partitions),
             horizon_s=settings.budget_horizon_s,
-            most_share=settings.budget_most_share,
+            max_preallocated_share=settings.budget_most_share,
             spread_share=settings.budget_spread_share,
         ),
-        leave_s=max(0.0, boot.grace_s - SHUTDOWN_MARGIN_S),
-        retry_share=boot.retry_ratio * USED_RETRY_SHARE,
+        shutdown_timeout_s=max(0.0, boot.grace_s - SHUTDOWN_MARGIN_S),
+        retries_per_request=boot.retry_ratio * USED_RETRY_SHARE,
         retry_slack=boot.retry_slack * USED_RETRY_SHARE,
         capacity=_capacity_per_s(boot),
     )
@@ -166,7 +166,7 @@
     server.closing = True
     async with trio.open_nursery() as nursery:
         nursery.start_soon(node.drain)
-        await trio.sleep(node.options.leave_accept_s)
+        await trio.sleep(node.options.shutdown_accept_s)
         ingress.refusing = True
     server.close_idle()
     await trio.sleep(FLUSH_S)
@@ -219,7 +219,7 @@
         await responder.answer(NOT_FOUND, ())
         return
     zone = parse_qs(parts.query).get("zone", [""])[0]
-    addresses = [entrance.address for entrance in node.addresses(zone)]
+    addresses = [endpoint.address for endpoint in node.addresses(zone)]
     if not addresses:
         await responder.answer(UNAVAILABLE, ())
         return
--- a/railtide/platform/store.py
+++ b/railtide/platform/store.py
@@ -15,12 +15,12 @@
 from railtide.http.messages import HttpRequest
 from railtide.http.stall import LEAST_BYTES, StallWatch
 from railtide.journal.backoff import Backoff
-from railtide.journal.eras import Eras
+from railtide.journal.eras import EraTracker
 from railtide.journal.errors import EraRisen, LogUnavailable, RecordsExpired
 from railtide.journal.hedge import Claim, hedged
 from railtide.journal.keyed import AppendConflict, KeyedPage, KeyedRecord, KeyedStore
-from railtide.journal.patience import Patience
-from railtide.journal.transfer import Transfer
+from railtide.journal.read_progress import ReadProgress
+from railtide.journal.response_timeouts import ResponseTimeouts
 from railtide.platform.partial_json import complete_items
 from railtide.platform.store_responses import (
     OK,
@@ -193,7 +193,7 @@
 class PlatformStore(KeyedStore):
     """Keyed topics of the platform's store.
 
-    The era of a response is checked before the rest of it is used; see `Eras`.
+    The era of a response is checked before the rest of it is used; see `EraTracker`.
 
     Timeouts bound the gaps of an operation and never its total time; see `StallWatch`.
 
@@ -210,24 +210,24 @@
         self._pool = PeerPool(host, int(port))
         self._host = address.encode()
         self._counters = counters
-        self._patience = Patience(FIRST_BYTE_TIMEOUT_S, MAX_FIRST_BYTE_TIMEOUT_S)
+        self._timeouts = ResponseTimeouts(FIRST_BYTE_TIMEOUT_S, MAX_FIRST_BYTE_TIMEOUT_S)
         self._rng = Random(address)
         self._newest_read_by_partition: dict[tuple[str, int], _NewestRead] = {}
         self._topics_reported_unreadable: set[str] = set()
-        self._eras = Eras(counters)
-        self._eras.on_rise(self._newest_read_by_partition.clear)
+        self._eras = EraTracker(counters)
+        self._eras.on_era_rise(self._newest_read_by_partition.clear)
 
     @property
     def era(self) -> int | None:
         """Current era of the store; see `KeyedStore.era`."""
         return self._eras.current
 
-    def on_rise(self, listener: Callable[[], None]) -> None:
-        """Add a listener; see `KeyedStore.on_rise`."""
-        self._eras.on_rise(listener)
+    def on_era_rise(self, listener: Callable[[], None]) -> None:
+        """Add a listener; see `KeyedStore.on_era_rise`."""
+        self._eras.on_era_rise(listener)
 
     async def newest(
-        self, topic: str, partition: int = 0, transfer: Transfer | None = None
+        self, topic: str, partition: int = 0, progress: ReadProgress | None = None
     ) -> KeyedPage:
         """Return the newest records; see `KeyedStore.newest`.
 
@@ -237,7 +237,7 @@
         more_pages = True
         while more_pages:
             operation = _Operation(b"GET", "/log-newest", topic, partition, newest_read.after)
-            page = await self._next_page(operation, newest_read, transfer)
+            page = await self._next_page(operation, newest_read, progress)
             newest_read.add(page)
             more_pages = page.has_more
             self._newest_read_by_partition[(topic, partition)] = newest_read
@@ -248,12 +248,12 @@
         return KeyedPage(ordered, newest_read.end, newest_read.end, unreadable)
 
     async def _next_page(
-        self, operation: _Operation, newest_read: _NewestRead, transfer: Transfer | None
+        self, operation: _Operation, newest_read: _NewestRead, progress: ReadProgress | None
     ) -> _Newest:
         """Return the next page; the complete items of a truncated one are kept."""
-        response = BufferedResponse(transfer)
+        response = BufferedResponse(progress)
         try:
-            await self._stream_hedged(operation, response, transfer)
+            await self._stream_hedged(operation, response, progress)
         except EraRisen:
             raise
         except LogUnavailable:
@@ -275,14 +275,14 @@
         start: int,
         wait_s: float,
         partition: int = 0,
-        transfer: Transfer | None = None,
+        progress: ReadProgress | None = None,
     ) -> KeyedPage:
         """Return records; see `KeyedStore.read`."""
         operation = _Operation(b"GET", READ_PATH, topic, partition, start=start, long_poll_s=wait_s)
-        response = PageResponse(start, transfer)
+        response = PageResponse(start, progress)
         reader = response.reader
         try:
-            await self._stream_hedged(operation, response, transfer)
+            await self._stream_hedged(operation, response, progress)
         except FirstRecordReceived:
             pass  # the reader holds it
         except EraRisen:
@@ -331,7 +331,7 @@
         return bytes(response.body)
 
     async def _stream_hedged(
-        self, operation: _Operation, response: StoreResponse, transfer: Transfer | None
+        self, operation: _Operation, response: StoreResponse, progress: ReadProgress | None
     ) -> None:
         """Send a request, hedged by more requests while there is no response.
 
@@ -340,16 +340,16 @@
         attempt of 1.0 s was in vain, and a longer one was abandoned 0.1 s before its response,
         since the response to another request had begun.
         """
-        if transfer is None:
+        if progress is None:
             await self._stream(operation, response)
             return
 
         def on_no_response(err: LogUnavailable | None) -> None:
             if err is None:
                 self._counters.add("store_calls_hedged")
-                self._patience.note_silent(operation.timeout_key)
+                self._timeouts.note_timeout(operation.timeout_key)
                 self._pool.drop_idle()
-            transfer.note_silent(err or LogUnavailable(f"{operation.path}: no response yet"))
+            progress.note_unresponsive(err or LogUnavailable(f"{operation.path}: no response yet"))
 
         async def send_first(claim: Claim) -> None:
             await self._stream(operation, response, MAX_FIRST_BYTE_TIMEOUT_S, claim)
@@ -379,25 +379,25 @@
         """
         self._counters.add("store_calls")
         self._counters.add("store_bytes_sent", len(operation.body))
-        first_byte_timeout_s = self._patience.head_s(operation.timeout_key)
+        first_byte_timeout_s = self._timeouts.timeout_s(operation.timeout_key)
         watch = StallWatch(
             operation.long_poll_s + (fixed_timeout_s or first_byte_timeout_s),
             max(STALL_TIMEOUT_S, first_byte_timeout_s),
         )
         rises = self._eras.rises
         if fixed_timeout_s is None:
-            self._patience.note_sent(watch, first_byte_timeout_s, operation.long_poll_s)
+            self._timeouts.note_sent(watch, first_byte_timeout_s, operation.long_poll_s)
         try:
             with watch:
                 await self._exchange(operation, response, watch, rises, claim)
         except HttpError as err:
             self._note_failure(operation, watch, err)
-            self._eras.check(rises)
+            self._eras.check_unchanged(rises)
             raise LogUnavailable(f"{operation.path}: {err.code}, {err.detail}") from err
         finally:
-            self._patience.note_ended(watch)
+            self._timeouts.note_ended(watch)
         self._counters.add("store_bytes_received", watch.received)
-        self._eras.check(rises)
+        self._eras.check_unchanged(rises)
         self._raise_for_status(operation, response)
 
     def _note_failure(self, operation: _Operation, watch: StallWatch, err: HttpError) -> None:
@@ -406,7 +406,7 @@
         if isinstance(err, Stalled):
             self._pool.drop_idle()
             if watch.received < LEAST_BYTES:
-                self._patience.note_silent(operation.timeout_key)
+                self._timeouts.note_timeout(operation.timeout_key)
 
     async def _exchange(
         self,
@@ -421,15 +421,15 @@
         )
         exchange = await self._pool.send(request, watch)
         try:
-            self._eras.take(era_header(exchange))
-            self._eras.check(rises)
+            self._eras.accept(era_header(exchange))
+            self._eras.check_unchanged(rises)
             claim()
             response.begin(exchange)
             first_byte_s = max(0.0, watch.took_s - operation.long_poll_s)
             async for chunk in exchange.chunks():
-                self._patience.note_begun(operation.timeout_key, first_byte_s)
+                self._timeouts.note_first_byte(operation.timeout_key, first_byte_s)
                 response.feed(chunk)
-            self._patience.note_begun(operation.timeout_key, first_byte_s)
+            self._timeouts.note_first_byte(operation.timeout_key, first_byte_s)
         finally:
             exchange.abandon()
 
--- a/railtide/platform/store_responses.py
+++ b/railtide/platform/store_responses.py
@@ -4,7 +4,7 @@
 
 from railtide.http.client import Exchange
 from railtide.http.messages import first_header
-from railtide.journal.transfer import Transfer
+from railtide.journal.read_progress import ReadProgress
 from railtide.platform.page import PageReader
 
 __all__ = [
@@ -35,7 +35,7 @@
 
     Parameters
     ----------
-    transfer : Transfer or None
+    progress : ReadProgress or None
         Notified of the progress of a successful response.
 
     Attributes
@@ -45,10 +45,10 @@
         Body of an unsuccessful response.
     """
 
-    def __init__(self, transfer: Transfer | None) -> None:
+    def __init__(self, progress: ReadProgress | None) -> None:
         self.status = 0
         self.refusal = bytearray()
-        self._transfer = transfer or Transfer()
+        self._progress = progress or ReadProgress()
         self._content_length: int | None = None
         self._is_transfer_begun = False
         self._bytes_before_begin = 0
@@ -67,11 +67,11 @@
         self._feed(chunk)
         if not self._is_transfer_begun and self._is_end_known():
             self._is_transfer_begun = True
-            self._transfer.begin(
-                self._end(), self._content_length, came=self._bytes_before_begin + len(chunk)
+            self._progress.begin(
+                self._end(), self._content_length, initial=self._bytes_before_begin + len(chunk)
             )
         elif self._is_transfer_begun:
-            self._transfer.move(len(chunk))
+            self._progress.add_received(len(chunk))
         else:
             self._bytes_before_begin += len(chunk)
 
@@ -95,8 +95,8 @@
     body : bytearray
     """
 
-    def __init__(self, transfer: Transfer | None = None) -> None:
-        super().__init__(transfer)
+    def __init__(self, progress: ReadProgress | None = None) -> None:
+        super().__init__(progress)
         self.body = bytearray()
 
     def _feed(self, chunk: bytes) -> None:
@@ -111,13 +111,13 @@
     reader : PageReader
     """
 
-    def __init__(self, start: int, transfer: Transfer | None = None) -> None:
-        super().__init__(transfer)
+    def __init__(self, start: int, progress: ReadProgress | None = None) -> None:
+        super().__init__(progress)
         self.reader = PageReader(start)
 
     def _feed(self, chunk: bytes) -> None:
         self.reader.feed(chunk)
-        if self._transfer.first_only and self.reader.has_records:
+        if self._progress.first_only and self.reader.has_records:
             raise FirstRecordReceived
 
     def _is_end_known(self) -> bool:
--- a/railtide/platform/tests/test_advertised_limits.py
+++ b/railtide/platform/tests/test_advertised_limits.py
@@ -16,7 +16,7 @@
     wait_until,
 )
 from railtide.platform.tests.test_end_to_end import RouterEnvironment, body_of, router_environment
-from railtide.upstreams.stated_limit import NEWS_LAG_S, StatedLimit
+from railtide.upstreams.advertised_limit import UPDATE_LAG_S, AdvertisedLimit
 
 WINDOW_S = 4.0
 SETTLE_S = 3.0
@@ -28,7 +28,7 @@
     return 1.5 * WINDOW_S * per_s + 5
 
 
-def limit_of(env: RouterEnvironment, name: str) -> StatedLimit:
+def limit_of(env: RouterEnvironment, name: str) -> AdvertisedLimit:
     return env.node.schedulers_by_pool["s"].by_name[name].limit
 
 
@@ -36,7 +36,7 @@
     async def test_limit_is_applied_and_logged(self, lines) -> None:
         async with router_environment() as env:
             engine = await env.add_engine("e1")
-            await wait_until(env.node.roster.is_named)
+            await wait_until(env.node.roster.is_advertised)
             for limit in ("40", "20.5", None):
                 engine.limit = limit
                 await body_of(await env.send("/safe/x"))
@@ -110,7 +110,7 @@
             engine.limit = "1.5"
             await fleet.send_load(per_s=24, for_s=3.0)
             engine.limit = None
-            await fleet.send_load(per_s=24, for_s=2 * NEWS_LAG_S)
+            await fleet.send_load(per_s=24, for_s=2 * UPDATE_LAG_S)
             assert not any(fleet.upstreams(number)["e0"].limit.in_force for number in range(3))
             assert set(fleet.statuses) == {200}
 
@@ -121,5 +121,5 @@
             await fleet.send_load(per_s=24, for_s=4.0, routers=2)
             assert fleet.upstreams(2)["e0"].limit.per_s == 1.5
             engine.limit = None
-            await fleet.send_load(per_s=24, for_s=2 * NEWS_LAG_S, routers=2)
+            await fleet.send_load(per_s=24, for_s=2 * UPDATE_LAG_S, routers=2)
             assert not fleet.upstreams(2)["e0"].limit.in_force
--- a/railtide/platform/tests/test_crashing_requests.py
+++ b/railtide/platform/tests/test_crashing_requests.py
@@ -18,7 +18,7 @@
 import pytest
 import trio
 
-from railtide.containment.ends import ProbeResult
+from railtide.containment.crash_detection import ProbeResult
 from railtide.containment.registry import TOPIC
 from railtide.edge.node import EdgeNode
 from railtide.edge.options import EdgeOptions
@@ -78,7 +78,7 @@
             EdgeOptions(),
             Random(number),
         )
-        upstreams.on_notice = node.take_notice
+        upstreams.on_notice = node.apply_notice
         self.nodes.append(node)
         self.scopes.append(trio.CancelScope())
         self.nursery.start_soon(self._run, node, self.scopes[-1])
--- a/railtide/platform/tests/test_end_to_end.py
+++ b/railtide/platform/tests/test_end_to_end.py
@@ -142,7 +142,7 @@
             Random(1),
             suspensions=suspensions,
         )
-        upstreams.on_notice = node.take_notice
+        upstreams.on_notice = node.apply_notice
         nursery.start_soon(node.run)
         port = await serve(nursery, Ingress(node, Random(1)).handle)
         with trio.fail_after(5):
@@ -365,7 +365,7 @@
     async def test_request_without_a_cost_needs_no_ledger(self) -> None:
         async with router_environment() as env:
             await env.add_engine("e1")
-            for part in env.node.treasury.partitions:
+            for part in env.node.budgets.partitions:
                 part.loaded = False
             assert not env.node.ready
             assert (await env.send("/once/x", body=b"b")).status == 200
@@ -405,9 +405,9 @@
                     await trio.sleep(0.01)
             assert 0 <= ready[0]["since_start_s"] < 5
             env.node.leaving = True
-            await trio.sleep(3 * env.node.options.settle_s)
+            await trio.sleep(3 * env.node.options.settle_interval_s)
             env.node.leaving = False
-            await trio.sleep(3 * env.node.options.settle_s)
+            await trio.sleep(3 * env.node.options.settle_interval_s)
         assert [line["event"] for line in lines].count("ready") == 1
 
     async def test_request_line_holds_the_retry_after(self, lines: list[dict[str, object]]) -> None:
--- a/railtide/platform/tests/test_invalid_records.py
+++ b/railtide/platform/tests/test_invalid_records.py
@@ -25,8 +25,8 @@
 from railtide.platform.tests.test_end_to_end import RouterEnvironment, body_of, router_environment
 from railtide.platform.tests.test_store import client_of
 from railtide.standins.platform import engine_entry
-from railtide.upstreams.load import LoadReport
 from railtide.upstreams.notice import UpstreamNotice
+from railtide.upstreams.upstream_state import LoadReport
 
 GOOD = engine_entry("10.0.0.9:8080")
 BORN_MS = 1_790_000_000_000
@@ -283,7 +283,7 @@
             await wait_until_read(env)
             by_name = env.node.schedulers_by_pool["s"].by_name
             notice = UpstreamNotice(LoadReport(8, 90, False, trio.current_time()))
-            env.node.take_notice(former.instance, notice)
+            env.node.apply_notice(former.instance, notice)
             assert by_name["e1"].report is None
             assert (by_name["e1"].failures, by_name["e1"].open_requests) == (0, 0)
             assert await request_status(env) == 200
--- a/railtide/platform/tests/test_outdated_configuration.py
+++ b/railtide/platform/tests/test_outdated_configuration.py
@@ -13,11 +13,11 @@
 
 from railtide.clocks import Suspensions
 from railtide.edge import freshness
-from railtide.edge.waking import REREAD_S
+from railtide.edge.wake_handler import MAX_REREAD_WAIT_S
 from railtide.http.client import Exchange
 from railtide.http.messages import first_header
 from railtide.journal.keyed import KeyedPage
-from railtide.journal.transfer import Transfer
+from railtide.journal.read_progress import ReadProgress
 from railtide.platform.tests.test_end_to_end import (
     ROUTES,
     RouterEnvironment,
@@ -65,10 +65,10 @@
         start: int,
         wait_s: float,
         partition: int = 0,
-        transfer: Transfer | None = None,
+        progress: ReadProgress | None = None,
     ) -> KeyedPage:
         """Return records; those of the configuration are withheld while `withholds` is set."""
-        page = await super().read(topic, start, wait_s, partition, transfer)
+        page = await super().read(topic, start, wait_s, partition, progress)
         if topic == CONFIGURATION and self.withholds and page.records:
             await trio.sleep(WITHHELD_READ_S)
             return KeyedPage([], page.end, start)
@@ -113,7 +113,7 @@
 
 
 def listed_routers(env: RouterEnvironment) -> set[str]:
-    return {entrance.name for entrance in env.node.addresses("z")}
+    return {endpoint.name for endpoint in env.node.addresses("z")}
 
 
 def events(lines: list[dict[str, object]], name: str) -> list[dict[str, object]]:
@@ -133,7 +133,7 @@
     async def test_configuration_stays_current_without_new_records(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        monkeypatch.setattr(freshness, "SLOW_ANSWER_S", 1.0)  # a busy machine answers late
+        monkeypatch.setattr(freshness, "READ_OVERDUE_S", 1.0)  # a busy machine answers late
         async with router_environment() as env:
             for _ in range(45):
                 await trio.sleep(0.1)
@@ -189,7 +189,7 @@
     async def test_unresponsive_store_is_suspected_once_an_answer_is_overdue(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        monkeypatch.setattr(freshness, "SLOW_ANSWER_S", 0.1)
+        monkeypatch.setattr(freshness, "READ_OVERDUE_S", 0.1)
         async with router_environment() as env:
             await env.add_engine("e")
             env.store.delay_s = 60.0
@@ -216,7 +216,7 @@
     async def test_readiness_and_log_show_an_outdated_configuration(
         self, monkeypatch: pytest.MonkeyPatch, lines: list[dict[str, object]]
     ) -> None:
-        monkeypatch.setattr(freshness, "BEHIND_S", 0.4)
+        monkeypatch.setattr(freshness, "MAX_BEHIND_S", 0.4)
         async with router_environment(store=WithholdingStore()) as env:
             await withhold(env, with_new_route())
             assert env.node.ready
@@ -236,20 +236,20 @@
     async def test_roster_shows_it_and_the_only_router_is_still_listed(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        monkeypatch.setattr(freshness, "BEHIND_S", 0.4)
+        monkeypatch.setattr(freshness, "MAX_BEHIND_S", 0.4)
         async with router_environment(store=WithholdingStore()) as env:
             await wait_until(lambda: env.node.addresses("z"))
             await withhold(env, with_new_route())
-            await wait_until(lambda: env.node.roster.is_announced_behind())
+            await wait_until(lambda: env.node.roster.is_announced_outdated())
             await trio.sleep(env.node.options.roster.dead_after_s + 1)
-            assert [entrance.name for entrance in env.node.addresses("z")] == ["i1"]
+            assert [endpoint.name for endpoint in env.node.addresses("z")] == ["i1"]
             env.store.withholds = False
-            await wait_until(lambda: not env.node.roster.is_announced_behind())
+            await wait_until(lambda: not env.node.roster.is_announced_outdated())
 
     async def test_outage_of_the_store_alone_makes_no_router_unready(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        monkeypatch.setattr(freshness, "BEHIND_S", 0.2)
+        monkeypatch.setattr(freshness, "MAX_BEHIND_S", 0.2)
         async with router_environment() as env:
             await make_store_unavailable(env)
             await trio.sleep(1.0)
@@ -318,14 +318,14 @@
             await wait_until(lambda: events(lines, "configuration-current"))
         (began,) = events(lines, "configuration-behind")
         assert (began["version"], began["reason"]) == (1, "newer-known")
-        assert began["known_s"] >= freshness.BEHIND_S and 0 < began["left_s"] < self.TRANSFER_S
+        assert began["known_s"] >= freshness.MAX_BEHIND_S and 0 < began["left_s"] < self.TRANSFER_S
         (ended,) = events(lines, "configuration-current")
         assert ended["version"] == 2 and self.TRANSFER_S <= ended["for_s"] < 2 * WAIT_S
 
     async def test_callers_are_given_routers_that_have_the_newer_state(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        monkeypatch.setattr(freshness, "BEHIND_S", 0.5)
+        monkeypatch.setattr(freshness, "MAX_BEHIND_S", 0.5)
         store = MemoryStore()
         link = NarrowLink(LINK_BYTES_PER_S)
         async with AsyncExitStack() as stack:
@@ -342,7 +342,7 @@
             assert slow.node.snapshot.version == 1
             assert {env.node.snapshot.version for env in fast} == {2}
             assert len(fast[0].node.roster.live()) == 3
-            await wait_until(lambda: not slow.node.roster.is_announced_behind(), 3 * WAIT_S)
+            await wait_until(lambda: not slow.node.roster.is_announced_outdated(), 3 * WAIT_S)
             assert slow.node.snapshot.version == 2
 
     async def test_interrupted_transfer_keeps_the_configuration_outdated(self) -> None:
@@ -367,7 +367,7 @@
         async with router_environment(suspensions=machine.suspensions) as env:
             await env.add_engine("e")
             write_without_waking(env, CONFIGURATION, "config", with_new_route())
-            env.store.delay_s = 2 * REREAD_S
+            env.store.delay_s = 2 * MAX_REREAD_WAIT_S
             machine.suspended_s = SUSPENDED_S
             await assert_outdated(await env.send(path))
             await wait_until(env.node.configuration_is_current)
@@ -410,7 +410,7 @@
     async def test_router_with_current_substitutes_serves_nothing_by_it(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        monkeypatch.setattr(freshness, "BEHIND_S", 0.5)
+        monkeypatch.setattr(freshness, "MAX_BEHIND_S", 0.5)
         store = MemoryStore()
         link = NarrowLink(LINK_BYTES_PER_S)
         async with AsyncExitStack() as stack:
@@ -431,14 +431,14 @@
             assert len(engine.ran) == ran
             assert (await fast[0].send("/safe/x")).status == 200
             await wait_until_in_force(slow, 2)
-            await wait_until(lambda: not slow.node.roster.is_announced_behind())
+            await wait_until(lambda: not slow.node.roster.is_announced_outdated())
             assert (await slow.send("/safe/x")).status == 200
 
     async def test_routers_that_are_all_outdated_serve_by_it(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         """No router has the newer one, so refusing would end all service until it is read."""
-        monkeypatch.setattr(freshness, "BEHIND_S", 0.5)
+        monkeypatch.setattr(freshness, "MAX_BEHIND_S", 0.5)
         store = MemoryStore()
         async with AsyncExitStack() as stack:
             routers = [
@@ -453,7 +453,7 @@
                 await router.add_engine(f"e{number}")
             await wait_until(lambda: all(len(r.node.roster.live()) == 3 for r in routers))
             publish(routers[0], 2, self.TRANSFER_S)
-            await wait_until(lambda: all(r.node.roster.is_announced_behind() for r in routers))
+            await wait_until(lambda: all(r.node.roster.is_announced_outdated() for r in routers))
             await trio.sleep(1.5)  # until each has read the others' records
             assert [(await r.send("/safe/x")).status for r in routers] == [200, 200, 200]
             assert [r.node.snapshot.version for r in routers] == [1, 1, 1]
@@ -462,7 +462,7 @@
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         """A single current router is fewer than callers are given addresses of."""
-        monkeypatch.setattr(freshness, "BEHIND_S", 0.5)
+        monkeypatch.setattr(freshness, "MAX_BEHIND_S", 0.5)
         store = MemoryStore()
         link = NarrowLink(LINK_BYTES_PER_S)
         async with AsyncExitStack() as stack:
@@ -472,7 +472,7 @@
             await wait_until(lambda: len(slow.node.roster.live()) == 2)
             publish(slow, 2, self.TRANSFER_S)
             await wait_until(lambda: fast.node.snapshot.version == 2)
-            await wait_until(lambda: slow.node.roster.is_announced_behind())
+            await wait_until(lambda: slow.node.roster.is_announced_outdated())
             await trio.sleep(1.5)  # until it has read its own record
             assert slow.node.snapshot.version == 1
             assert (await slow.send("/safe/x")).status == 200
--- a/railtide/platform/tests/test_resting_engines.py
+++ b/railtide/platform/tests/test_resting_engines.py
@@ -10,7 +10,7 @@
 
 from railtide.http.errors import ConnectionLost
 from railtide.http.messages import first_header
-from railtide.lanes.pool_notices import MOST_REST_S
+from railtide.lanes.pool_notices import MAX_REST_S
 from railtide.platform.tests.router_fleet import open_router_fleet
 from railtide.platform.tests.test_end_to_end import body_of, router_environment
 from railtide.standins.platform import EngineScript
@@ -76,10 +76,10 @@
         async with router_environment() as env:
             await env.add_engine("e1")
             scheduler = env.node.schedulers_by_pool["s"]
-            scheduler.notices.take_rest("e1", 3.0)
-            until_before = scheduler.by_name["e1"].rests_until
-            scheduler.notices.take_rest("e1", 1.0)
-            assert scheduler.by_name["e1"].rests_until == until_before
+            scheduler.notices.apply_rest("e1", 3.0)
+            until_before = scheduler.by_name["e1"].resting_until
+            scheduler.notices.apply_rest("e1", 1.0)
+            assert scheduler.by_name["e1"].resting_until == until_before
 
     @pytest.mark.parametrize("rest", ["0", "", "-1", "nan", "Thu, 03 Dec 2026 12:00:00 GMT"])
     async def test_invalid_value_starts_no_rest(self, rest: str) -> None:
@@ -95,8 +95,8 @@
             engine = await env.add_engine("e1")
             engine.rest = "1000000"
             await env.send("/safe/x")
-            rests_until = env.node.schedulers_by_pool["s"].by_name["e1"].rests_until
-            assert rests_until <= trio.current_time() + MOST_REST_S
+            resting_until = env.node.schedulers_by_pool["s"].by_name["e1"].resting_until
+            assert resting_until <= trio.current_time() + MAX_REST_S
 
     async def test_rest_applies_to_one_router(self) -> None:
         async with open_router_fleet(routers=2, engines=1) as fleet:
@@ -149,6 +149,6 @@
                 await env.add_engine(name)
             scheduler = env.node.schedulers_by_pool["s"]
             scheduler.by_name["e1"].ejected_until = trio.current_time() + 30
-            scheduler.notices.take_rest("e2", 30)
+            scheduler.notices.apply_rest("e2", 30)
             assert (await env.send("/safe/x")).status == 200
             assert len(env.engine_by_name["e1"].arrivals) == 1
--- a/railtide/platform/tests/test_resumed_newest.py
+++ b/railtide/platform/tests/test_resumed_newest.py
@@ -94,7 +94,7 @@
         self.feed = Feed(
             client,
             "keyed.t",
-            FeedOptions(newest_suffice=True),
+            FeedOptions(skip_superseded=True),
             Random(1),
             self._collect,
             self.reported_keys.append,
@@ -191,7 +191,7 @@
             assert offsets == sorted(offsets)
 
     async def test_known_key_is_not_reported_as_removed(self) -> None:
-        """`UpstreamList.keep_only` removes each engine that is not among the keys."""
+        """`UpstreamList.retain` removes each engine that is not among the keys."""
         store = store_with_two_keys()
         async with recorded_feed(store) as recorder:
             await resume_after_interruption(store, recorder)
--- a/railtide/platform/tests/test_rollback.py
+++ b/railtide/platform/tests/test_rollback.py
@@ -2,7 +2,7 @@
 
 import trio
 
-from railtide.edge.freshness import REWRITTEN_S
+from railtide.edge.freshness import REWRITE_GRACE_S
 from railtide.membership.instances import InstanceState
 from railtide.membership.upstream_list import RETURN_GRACE_S
 from railtide.platform.tests.test_end_to_end import (
@@ -85,7 +85,7 @@
             await assert_outdated(await env.send("/nowhere/x"))
             await assert_outdated(await env.send("/safe/x", NEW_KEY))
             assert (await env.send("/safe/x")).status == 200
-            await trio.sleep(REWRITTEN_S)
+            await trio.sleep(REWRITE_GRACE_S)
             assert (await env.send("/nowhere/x")).status == 404
 
     async def test_no_refusal_is_final_while_the_store_holds_an_older_version(self) -> None:
@@ -95,7 +95,7 @@
             env.store.put(CONFIGURATION, "config", desired_state(2))
             await wait_until(lambda: env.node.snapshot.version == 2)
             env.store.roll_back(copy)
-            await trio.sleep(REWRITTEN_S + READ_S)
+            await trio.sleep(REWRITE_GRACE_S + READ_S)
             await assert_outdated(await env.send("/nowhere/x"))
             assert env.node.ready
             env.store.put(CONFIGURATION, "config", desired_state(2))
--- a/railtide/platform/tests/test_slow_link.py
+++ b/railtide/platform/tests/test_slow_link.py
@@ -43,7 +43,7 @@
         self.records: list[KeyedRecord] = []
         self.counters = counters
         self.feed = Feed(
-            self.client, TOPIC, FeedOptions(newest_suffice=True), Random(1), self.records.extend
+            self.client, TOPIC, FeedOptions(skip_superseded=True), Random(1), self.records.extend
         )
 
     @property
@@ -168,12 +168,12 @@
         """Their hedged reads last longer, but the store must be reported unreachable before."""
         link = NarrowLink(LINK_BYTES_PER_S)
         async with router_environment(link=link) as env:
-            await wait_until(lambda: env.node.roster.is_named() and env.node.treasury.reachable)
+            await wait_until(lambda: env.node.roster.is_advertised() and env.node.budgets.reachable)
             link.hold()
-            await wait_until(lambda: not env.node.treasury.reachable, DETECTION_S)
+            await wait_until(lambda: not env.node.budgets.reachable, DETECTION_S)
             link.lose_open()
             link.pass_on()
-            await wait_until(lambda: env.node.treasury.reachable, DETECTION_S)
+            await wait_until(lambda: env.node.budgets.reachable, DETECTION_S)
 
 
 class TestTrickle:
--- a/railtide/platform/upstreams.py
+++ b/railtide/platform/upstreams.py
@@ -5,24 +5,24 @@
 
 import trio
 
-from railtide.containment.ends import ProbeResult
+from railtide.containment.crash_detection import ProbeResult
 from railtide.http.client import Exchange, PeerPool, connect_tcp_stream
 from railtide.http.errors import ConnectFailed, ConnectRefused, HttpError
 from railtide.http.messages import Headers, HttpRequest, first_header, without_hop_by_hop
 from railtide.membership.instances import Instance
 from railtide.platform import header_names
 from railtide.platform.notices import notice_of
-from railtide.upstreams.client import PastRun, UpstreamAnswer, UpstreamCall, UpstreamClient
+from railtide.upstreams.client import RunReport, UpstreamAnswer, UpstreamCall, UpstreamClient
 from railtide.upstreams.errors import (
     AnswerMismatch,
-    UpstreamAbsent,
-    UpstreamBroken,
+    UpstreamDisconnected,
     UpstreamLost,
     UpstreamMoved,
+    UpstreamNotListening,
     UpstreamRefused,
 )
-from railtide.upstreams.load import LoadReport
 from railtide.upstreams.notice import UpstreamNotice
+from railtide.upstreams.upstream_state import LoadReport
 
 __all__ = ["PlatformUpstreams"]
 
@@ -48,7 +48,7 @@
             async for data in self._exchange.chunks():
                 yield data
         except HttpError as err:
-            raise UpstreamBroken(err.detail) from err
+            raise UpstreamDisconnected(err.detail) from err
 
     def holds_another(self, body: bytes) -> bool:
         """Look for the headers of a response with this request's id; see `UpstreamAnswer`."""
@@ -87,11 +87,11 @@
         try:
             exchange = await self._pool(upstream).send(request)
         except ConnectRefused as err:
-            raise UpstreamAbsent(err.detail) from err
+            raise UpstreamNotListening(err.detail) from err
         except ConnectFailed as err:
             raise UpstreamRefused(err.detail) from err
         except HttpError as err:
-            raise UpstreamBroken(err.detail) from err
+            raise UpstreamDisconnected(err.detail) from err
         try:
             self._check_headers(upstream, call, exchange, sent_at)
         except BaseException:
@@ -149,11 +149,11 @@
             return ProbeResult.UNKNOWN
         return ProbeResult.CONNECTED
 
-    async def past_run(self, upstream: Instance, request_id: str) -> PastRun:
+    async def run_report(self, upstream: Instance, request_id: str) -> RunReport:
         """Raise `UpstreamLost`: the engines keep no outcomes of requests."""
         raise UpstreamLost("the platform's engines keep no outcomes of requests")
 
-    async def cancel(self, upstream: Instance, request_id: str) -> PastRun:
+    async def cancel(self, upstream: Instance, request_id: str) -> RunReport:
         """Raise `UpstreamLost`: closing the connection already cancels a request."""
         raise UpstreamLost("the platform's engines keep no outcomes of requests")
 
--- a/railtide/requests/services.py
+++ b/railtide/requests/services.py
@@ -1,20 +1,20 @@
-"""What all requests of one router share."""
+"""Services that all requests of one router share."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from railtide.budgets.treasury import Reservation
+from railtide.budgets.log_budget_source import LogReservation
 from railtide.configuration.models import AccountSettings
 from railtide.containment.guard import ContentGuard, NoGuard
+from railtide.requests.answer_cache import AnswerCache
 from railtide.requests.options import RequestOptions
-from railtide.requests.replays import Replays
 from railtide.requests.retry import RetryBudget
 from railtide.telemetry.counters import Counters
 from railtide.upstreams.client import UpstreamClient
 
 if TYPE_CHECKING:
-    from railtide.requests.cover import Cover
+    from railtide.requests.commit import CommitProtocol
     from railtide.requests.relay import Relay
 
 __all__ = ["Services"]
@@ -22,32 +22,33 @@
 
 @dataclass(frozen=True)
 class Services:
-    """Shared parts.
+    """Dependencies of a router's requests.
 
     Attributes
     ----------
     log_reachable : callable
-        Whether entries become durable now.
-    retries_of : callable
+        Returns whether the log can make entries durable now.
+    retry_budget_of : callable
         Returns the retry budget of a pool.
     extend : callable
-        Adds to a reservation; see `Treasury.extend`.
+        Adds to a reservation; see `LogBudgetSource.extend`.
     start_soon : callable
         Runs an async function without arguments in the background.
-    make_cover, make_relay : callable
-        The parts in which ways to the budget and kinds of upstreams differ.
+    make_commit, make_relay : callable
+        Factories of the commit protocol, which depends on where budgets are kept, and of the
+        relay, which depends on the kind of upstream.
     guard : ContentGuard
-        Keeps contents that end upstreams away from them.
+        Quarantines contents that crash upstreams.
     """
 
     upstreams: UpstreamClient
     options: RequestOptions
-    retries_of: Callable[[str], RetryBudget]
-    replays: Replays
+    retry_budget_of: Callable[[str], RetryBudget]
+    answer_cache: AnswerCache
     counters: Counters
     log_reachable: Callable[[], bool]
-    extend: Callable[[Reservation, AccountSettings, int, float], Awaitable[bool]]
+    extend: Callable[[LogReservation, AccountSettings, int, float], Awaitable[bool]]
     start_soon: Callable[[Callable[[], Awaitable[None]]], None]
-    make_cover: Callable[..., "Cover"]
+    make_commit: Callable[..., "CommitProtocol"]
     make_relay: Callable[..., "Relay"]
     guard: ContentGuard = field(default_factory=NoGuard)
--- a/railtide/requests/tests/test_cover.py
+++ b/railtide/requests/tests/test_commit.py
@@ -1,16 +1,17 @@
-"""Tests of railtide.requests.cover."""
+"""Tests of railtide.requests.commit."""
 
 import pytest
 import trio
 
-from railtide.budgets.treasury import Epoch, Reservation
+from railtide.budgets.log_budget_source import Epoch, LogReservation
 from railtide.configuration.models import AccountSettings
-from railtide.journal.entries import Code, Verdict
+from railtide.journal.entries import Verdict, VerdictCode
 from railtide.journal.writer import Writer
 from railtide.lanes.queue import Urgency
 from railtide.membership.messages import Heartbeat
+from railtide.requests.answer_cache import AnswerCache
 from railtide.requests.call import Call, Prices
-from railtide.requests.cover import KnownAnswer, LogCover, answer_of_verdict
+from railtide.requests.commit import KnownAnswer, LogCommit, answer_of_verdict
 from railtide.requests.errors import (
     AnswerGone,
     HolderFenced,
@@ -20,7 +21,6 @@
 )
 from railtide.requests.messages import Answer, Outcome
 from railtide.requests.options import RequestOptions
-from railtide.requests.replays import Replays
 from railtide.requests.retry import RetryBudget
 from railtide.requests.services import Services
 from railtide.telemetry.counters import Counters
@@ -48,19 +48,19 @@
 
 
 class Case:
-    """A cover with a writer whose verdicts the test gives."""
+    """A commit protocol with a writer whose verdicts are set by the test."""
 
     def __init__(self, key: str = "", exposure: int = 100) -> None:
         self.writer = Writer("h", lambda entry, trace: None)
         self.reachable = True
         epoch = Epoch(self.writer)
-        hand = epoch.hand("a")
-        hand.granted, hand.reserved, hand.exposure_limit = 100, 10, exposure
+        allocation = epoch.allocation("a")
+        allocation.granted, allocation.reserved, allocation.exposure_limit = 100, 10, exposure
         services = Services(
             None,
             OPTIONS,
             lambda pool: RetryBudget(),
-            Replays(),
+            AnswerCache(),
             Counters(),
             lambda: self.reachable,
             None,
@@ -68,35 +68,37 @@
             None,
             None,
         )
-        self.cover = LogCover(call_with(key), Reservation(epoch, "a", 10), services)
+        self.commit = LogCommit(call_with(key), LogReservation(epoch, "a", 10), services)
 
-    def decide(self, code: str = Code.OK, **more: object) -> None:
+    def decide(self, code: str = VerdictCode.OK, **more: object) -> None:
         seq = self.writer.pending()[0].seq
-        self.writer.take_verdict(Verdict(seq, code, 0, **more))
+        self.writer.apply_verdict(Verdict(seq, code, 0, **more))
 
 
-class TestDeclare:
-    async def test_request_without_key_goes_before_its_intent(self, autojump_clock) -> None:
+class TestPrepare:
+    async def test_request_without_key_does_not_wait_for_its_intent(self, autojump_clock) -> None:
         case = Case()
-        await case.cover.declare()
+        await case.commit.prepare()
         assert len(case.writer.pending()) == 1
 
-    async def test_above_the_exposure_it_waits_for_its_intent(self, autojump_clock) -> None:
+    async def test_request_above_the_exposure_limit_waits_for_its_intent(
+        self, autojump_clock
+    ) -> None:
         case = Case(exposure=0)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(case.cover.declare)
+            nursery.start_soon(case.commit.prepare)
             await trio.sleep(0.5)
             assert len(nursery.child_tasks) == 1
             case.decide()
 
-    async def test_key_waits_for_its_claim_and_learns_of_the_other(self, autojump_clock) -> None:
+    async def test_request_with_a_used_key_gets_the_stored_answer(self, autojump_clock) -> None:
         case = Case(key="k")
         answer = Answer(200, "", b"x")
         with pytest.raises(KnownAnswer) as known:
             async with trio.open_nursery(strict_exception_groups=False) as nursery:
-                nursery.start_soon(case.cover.declare)
+                nursery.start_soon(case.commit.prepare)
                 await trio.sleep(0.5)
-                case.decide(Code.KEY_USED, outcome=Outcome.DONE, answer=answer)
+                case.decide(VerdictCode.KEY_USED, outcome=Outcome.DONE, answer=answer)
         assert known.value.answer == answer
 
     async def test_fenced_holder_sends_nothing(self, autojump_clock) -> None:
@@ -104,43 +106,49 @@
         case.writer.submit(Heartbeat())
         case.decide(fenced=True)
         with pytest.raises(HolderFenced):
-            await case.cover.declare()
+            await case.commit.prepare()
 
 
-class TestCheckFresh:
-    async def test_old_proof_of_a_durable_request_is_not_trusted(self, autojump_clock) -> None:
+class TestCheckOwnership:
+    async def test_durable_request_is_refused_after_an_old_confirmation(
+        self, autojump_clock
+    ) -> None:
         case = Case()
-        await case.cover.declare()
+        await case.commit.prepare()
         case.decide()
-        case.cover.check_fresh()
+        case.commit.check_ownership()
         await trio.sleep(OPTIONS.dispatch_window_s + 1)
         with pytest.raises(HolderFenced):
-            case.cover.check_fresh()
+            case.commit.check_ownership()
 
-    async def test_new_proof_is(self, autojump_clock) -> None:
+    async def test_durable_request_is_allowed_after_a_new_confirmation(
+        self, autojump_clock
+    ) -> None:
         case = Case()
-        await case.cover.declare()
+        await case.commit.prepare()
         case.decide()
         await trio.sleep(OPTIONS.dispatch_window_s + 1)
         case.writer.submit(Heartbeat())
         case.decide()
-        case.cover.check_fresh()
+        case.commit.check_ownership()
 
 
-class TestHold:
-    async def test_first_byte_waits_for_the_intent_within_bounds(self, autojump_clock) -> None:
+class TestWaitBeforeOutput:
+    async def test_first_byte_waits_for_the_intent_up_to_the_commit_wait(
+        self, autojump_clock
+    ) -> None:
         case = Case()
-        await case.cover.declare()
+        await case.commit.prepare()
         began = trio.current_time()
-        await case.cover.hold_first_byte()
+        await case.commit.wait_before_first_byte()
         assert trio.current_time() - began == pytest.approx(OPTIONS.commit_wait_s, abs=0.1)
 
-    async def test_nothing_is_held_while_the_log_is_down(self, autojump_clock) -> None:
+    async def test_first_byte_does_not_wait_while_the_log_is_down(self, autojump_clock) -> None:
         case = Case()
-        await case.cover.declare()
+        await case.commit.prepare()
         case.reachable = False
         began = trio.current_time()
-        await case.cover.hold_first_byte()
+        await case.commit.wait_before_first_byte()
         assert trio.current_time() == began
 
 
@@ -148,12 +156,14 @@
     @pytest.mark.parametrize(
         "code,outcome,error",
         [
-            (Code.KEY_OPEN, "", RequestInProgress),
-            (Code.KEY_MISMATCH, "", KeyReused),
-            (Code.KEY_USED, Outcome.UNKNOWN, OutcomeUnknown),
-            (Code.KEY_USED, Outcome.DONE, AnswerGone),
+            (VerdictCode.KEY_OPEN, "", RequestInProgress),
+            (VerdictCode.KEY_MISMATCH, "", KeyReused),
+            (VerdictCode.KEY_USED, Outcome.UNKNOWN, OutcomeUnknown),
+            (VerdictCode.KEY_USED, Outcome.DONE, AnswerGone),
         ],
     )
-    def test_says_what_is_known(self, code: str, outcome: str, error: type) -> None:
+    def test_raises_the_error_for_the_state_of_the_key(
+        self, code: str, outcome: str, error: type
+    ) -> None:
         with pytest.raises(error):
             answer_of_verdict(Verdict(1, code, 0, outcome=outcome))
--- a/railtide/requests/usage.py
+++ b/railtide/requests/usage.py
@@ -1,19 +1,19 @@
-"""What a try without an answer used, as far as its upstream tells."""
+"""Cost of attempts without an answer, as far as their upstream reports it."""
 
 from railtide.membership.instances import Instance
 from railtide.requests.call import Prices, Usage, cost_of
-from railtide.upstreams.client import PastRun, RunState, UpstreamClient
+from railtide.upstreams.client import RunReport, RunState, UpstreamClient
 from railtide.upstreams.errors import UpstreamError
 
-__all__ = ["cancel_and_learn_cost", "cost_of_run"]
+__all__ = ["cancel_and_get_cost", "cost_of_run"]
 
 
-def cost_of_run(prices: Prices, run: PastRun, reserve: int) -> int:
-    """Return what a run used, units; the whole reserve where that can't be told.
+def cost_of_run(prices: Prices, run: RunReport, reserve: int) -> int:
+    """Return the cost of a run, units; the whole reserve where its usage is unknown.
 
     Examples
     --------
-    >>> cost_of_run(Prices(call=5), PastRun(RunState.UNKNOWN), 9)
+    >>> cost_of_run(Prices(call=5), RunReport(RunState.UNKNOWN), 9)
     0
     """
     if run.state is RunState.UNKNOWN:
@@ -26,16 +26,16 @@
     return min(reserve, cost_of(prices, usage))
 
 
-async def cancel_and_learn_cost(
+async def cancel_and_get_cost(
     upstreams: UpstreamClient,
     upstream: Instance,
     request_id: str,
     prices: Prices,
     reserve: int,
 ) -> int:
-    """Cancel a try at its upstream and return what it used, units.
+    """Cancel a run at its upstream and return its cost, units.
 
-    An upstream that does not answer is taken to have used the whole reserve.
+    An upstream that does not answer is assumed to have used the whole reserve.
     """
     try:
         run = await upstreams.cancel(upstream, request_id)
--- a/railtide/router/router.py
+++ b/railtide/router/router.py
@@ -6,31 +6,31 @@
 import trio
 from loguru import logger
 
-from railtide.budgets.treasury import Epoch, Treasury
+from railtide.budgets.log_budget_source import Epoch, LogBudgetSource
 from railtide.configuration.directory import Directory
 from railtide.configuration.errors import StaleConfiguration
 from railtide.configuration.messages import Kind
 from railtide.configuration.models import AccountSettings, ModelBody, ServiceBody
 from railtide.journal.writer import Writer
 from railtide.lanes.scheduler import PoolScheduler
-from railtide.membership.addresses import Entrance, addresses_for
+from railtide.membership.addresses import RouterEndpoint, endpoints_for
 from railtide.membership.errors import NoInstance
 from railtide.membership.identity import Identity, Role
 from railtide.membership.instances import Instance, InstanceState
-from railtide.membership.messages import Close, Heartbeat, Leaving, Open
+from railtide.membership.messages import CloseHolder, Heartbeat, Leaving, OpenHolder
+from railtide.requests.answer_cache import AnswerCache
 from railtide.requests.call import AnswerSink, Call, Prices
-from railtide.requests.cover import log_cover
+from railtide.requests.commit import log_commit
 from railtide.requests.dispatcher import Dispatcher
 from railtide.requests.recovery import Recovery
 from railtide.requests.relay import engine_relay
-from railtide.requests.replays import Replays
 from railtide.requests.retry import RetryBudget
 from railtide.requests.services import Services
 from railtide.router.errors import BacklogFull, Draining, NotReady
 from railtide.router.options import RouterOptions
 from railtide.router.uplink import Uplink
 from railtide.telemetry.counters import Counters
-from railtide.upstreams.choice import PrefixAffinity, TwoChoices
+from railtide.upstreams.balancing import PrefixAffinity, TwoChoices
 from railtide.upstreams.client import UpstreamClient
 from railtide.upstreams.errors import UpstreamError
 from railtide.wire.links import Connect
@@ -87,23 +87,23 @@
         self._fresh_at: float | None = None
         self._nursery: trio.Nursery | None = None
         self._epoch_by_holder: dict[str, Epoch] = {}
-        self.treasury = Treasury(self._open_epoch, self._log_reachable, self._holders)
+        self.budgets = LogBudgetSource(self._open_epoch, self._log_reachable, self._holders)
         self._retries = RetryBudget()
         self._services = Services(
             upstreams,
             options.requests,
             lambda pool: self._retries,
-            Replays(),
+            AnswerCache(),
             self.counters,
             self._log_reachable,
-            self.treasury.extend,
+            self.budgets.extend,
             self._start_soon,
-            log_cover,
+            log_commit,
             engine_relay,
         )
-        self._dispatcher = Dispatcher(self.treasury, self.schedulers_by_pool.get, self._services)
+        self._dispatcher = Dispatcher(self.budgets, self.schedulers_by_pool.get, self._services)
         self._recovery = Recovery(
-            self.treasury,
+            self.budgets,
             self.schedulers_by_pool.get,
             self._prices_of,
             upstreams,
@@ -124,7 +124,7 @@
             async with trio.open_nursery() as nursery:
                 self._nursery = nursery
                 nursery.start_soon(self.uplink.run)
-                nursery.start_soon(self.treasury.run)
+                nursery.start_soon(self.budgets.run)
                 nursery.start_soon(self._run_heartbeats)
                 nursery.start_soon(self._run_loads)
         finally:
@@ -133,19 +133,19 @@
     async def drain(self) -> None:
         """Leave: be named to no caller, finish what is open, give back, close."""
         logger.info("draining")
-        if self.treasury.epoch is None:
+        if self.budgets.epoch is None:
             self.draining = True
             return
-        self.treasury.epoch.writer.submit(Leaving())
+        self.budgets.epoch.writer.submit(Leaving())
         await self._sleep_while_named()
         self.draining = True
         with trio.move_on_after(self.options.drain_s):
-            while self.open_calls or self.treasury.epoch.open_reservations:
+            while self.open_calls or self.budgets.epoch.open_reservations:
                 await trio.sleep(DRAIN_TICK_S)
-        self.treasury.give_back_all()
-        writer = self.treasury.epoch.writer
+        self.budgets.return_all()
+        writer = self.budgets.epoch.writer
         writer.closed = True
-        closing = writer.submit(Close())
+        closing = writer.submit(CloseHolder())
         await closing.wait_at_most(self.options.address_ttl_s)
         logger.info("drained; {} requests left open", self.open_calls)
 
@@ -156,7 +156,7 @@
     async def _run_heartbeats(self) -> None:
         while True:
             await trio.sleep(self.options.heartbeat_s)
-            epoch = self.treasury.epoch
+            epoch = self.budgets.epoch
             if epoch and not epoch.writer.pending():
                 epoch.writer.submit(Heartbeat())
 
@@ -174,7 +174,7 @@
         except UpstreamError:
             self.counters.add("load_reports_missed")
             return
-        scheduler.take_report(instance.name, report)
+        scheduler.apply_load_report(instance.name, report)
 
     # -- serving ------------------------------------------------------------------------------
 
@@ -202,7 +202,7 @@
             raise StaleConfiguration(
                 "this router is cut off for longer than the account allows", retry_after=SOON_S
             )
-        if self.treasury.epoch.writer.pending_bytes > self.options.pending_bytes:
+        if self.budgets.epoch.writer.pending_bytes > self.options.pending_bytes:
             raise BacklogFull("too many entries wait for the log", retry_after=SOON_S)
 
     def staleness(self) -> float:
@@ -211,7 +211,7 @@
             return float("inf")
         return trio.current_time() - self._fresh_at
 
-    def addresses(self, account: str) -> list[Entrance]:
+    def addresses(self, account: str) -> list[RouterEndpoint]:
         """Return the routers that callers of an account are to use now.
 
         Raises
@@ -220,14 +220,14 @@
             None is known that is live.
         """
         settings = self.directory.settings(account) or AccountSettings()
-        chosen = addresses_for(account, self._entrances(), settings.entrances)
+        chosen = endpoints_for(account, self._endpoints(), settings.entrances)
         if not chosen:
             raise NoInstance("no live router is known", retry_after=SOON_S)
         return chosen
 
-    def _entrances(self) -> list[Entrance]:
+    def _endpoints(self) -> list[RouterEndpoint]:
         return [
-            Entrance(member.name, member.address, member.failure_domain)
+            RouterEndpoint(member.name, member.address, member.failure_domain)
             for member in self._members
             if member.role == Role.ROUTER and member.state is InstanceState.LIVE
         ]
@@ -238,7 +238,7 @@
         return self.uplink.log_reachable
 
     def _holders(self, settings: AccountSettings) -> int:
-        return max(1, min(settings.entrances, len(self._entrances())))
+        return max(1, min(settings.entrances, len(self._endpoints())))
 
     def _prices_of(self, pool: str) -> Prices:
         for body in self.directory.bodies(Kind.MODEL):
@@ -262,7 +262,7 @@
         self.uplink.add_writer(writer)
         epoch = Epoch(writer)
         self._epoch_by_holder[holder] = epoch
-        writer.submit(Open(who.instance, who.failure_domain, who.address, Role.ROUTER, since))
+        writer.submit(OpenHolder(who.instance, who.failure_domain, who.address, Role.ROUTER, since))
         return epoch
 
     # -- messages of the keeper ---------------------------------------------------------------
@@ -276,7 +276,7 @@
             case MembersMessage():
                 self._on_members(message)
             case DemandMessage():
-                self.treasury.give_back(message.account)
+                self.budgets.return_idle(message.account)
             case LogStatusMessage():
                 self._on_status(message)
             case OrphanMessage():
@@ -286,16 +286,16 @@
         epoch = self._epoch_by_holder.get(message.holder)
         if epoch is None:
             return
-        ticket = epoch.writer.take_verdict(message.verdict)
-        if ticket:
-            self.treasury.take_ticket(epoch, ticket)
+        submission = epoch.writer.apply_verdict(message.verdict)
+        if submission:
+            self.budgets.apply_grant_verdict(epoch, submission)
         if epoch.writer.closed and not epoch.writer.pending():
             del self._epoch_by_holder[message.holder]
 
     def _on_status(self, message: LogStatusMessage) -> None:
         if message.reachable and message.caught_up:
             self._fresh_at = trio.current_time()
-            self.treasury.begin()
+            self.budgets.begin()
 
     def _on_members(self, message: MembersMessage) -> None:
         self._members = message.instances
--- a/tests/matrix/ports.py
+++ b/tests/matrix/ports.py
@@ -11,7 +11,7 @@
 import trio
 
 from railtide.journal.client import LogClient, LogRecord, Page
-from railtide.journal.entries import batch_from_bytes, record_of
+from railtide.journal.entries import batch_from_bytes, decode_record
 from railtide.journal.errors import LogUnavailable
 from railtide.membership.errors import InstanceListUnavailable
 from railtide.membership.instances import Instance, InstanceList
@@ -22,13 +22,13 @@
 from railtide.standins.log import LogStore
 from railtide.standins.service import PlainService
 from railtide.upstreams.client import (
-    PastRun,
+    RunReport,
     UpstreamAnswer,
     UpstreamCall,
     UpstreamClient,
 )
 from railtide.upstreams.errors import UpstreamLost, UpstreamRefused
-from railtide.upstreams.load import LoadReport
+from railtide.upstreams.upstream_state import LoadReport
 from railtide.wire.links import Link
 from railtide.wire.messages import Message
 
@@ -101,7 +101,7 @@
     """Return the step and the instance of each entry in an append."""
     found = set()
     for entry in batch_from_bytes(data):
-        record = record_of(entry)
+        record = decode_record(entry)
         step = type(record).__name__.lower()
         if isinstance(record, Intent) and record.key:
             step = "claim"
@@ -272,23 +272,23 @@
         await self._platform.reached("answer-end", "during", self._port.name)
         await self._port.gate()
 
-    async def past_run(self, upstream: Instance, request_id: str) -> PastRun:
+    async def run_report(self, upstream: Instance, request_id: str) -> RunReport:
         await self._port.gate()
         await trio.sleep(HOP_S)
         service = self._platform.services.get(upstream.address)
         engine = self._platform.engines.get(upstream.address)
         if service:
-            return service.past_run(request_id)
+            return service.run_report(request_id)
         if engine is None:
             raise UpstreamLost("no connection")
-        return engine.past_run(request_id)
+        return engine.run_report(request_id)
 
-    async def cancel(self, upstream: Instance, request_id: str) -> PastRun:
+    async def cancel(self, upstream: Instance, request_id: str) -> RunReport:
         await self._port.gate()
         engine = self._platform.engines.get(upstream.address)
         if engine:
             return engine.cancel(request_id)
-        return await self.past_run(upstream, request_id)
+        return await self.run_report(upstream, request_id)
 
     async def load(self, upstream: Instance) -> LoadReport:
         await self._port.gate()
