--- a/railtide/platform/store.py
+++ b/railtide/platform/store.py
@@ -335,7 +335,7 @@
     ) -> None:
         """Send a request, hedged by more requests while there is no response.
 
-        Without a `transfer` the request is not hedged. Abandoning a request that has no response
+        Without `progress` the request is not hedged. Abandoning a request that has no response
         yet gives up its place in the queue of a slow store: where a response took 1.6 s, every
         attempt of 1.0 s was in vain, and a longer one was abandoned 0.1 s before its response,
         since the response to another request had begun.
--- a/railtide/platform/store_responses.py
+++ b/railtide/platform/store_responses.py
@@ -50,7 +50,7 @@
         self.refusal = bytearray()
         self._progress = progress or ReadProgress()
         self._content_length: int | None = None
-        self._is_transfer_begun = False
+        self._is_progress_begun = False
         self._bytes_before_begin = 0
 
     def begin(self, exchange: Exchange) -> None:
@@ -65,12 +65,12 @@
             self.refusal += chunk
             return
         self._feed(chunk)
-        if not self._is_transfer_begun and self._is_end_known():
-            self._is_transfer_begun = True
+        if not self._is_progress_begun and self._is_end_known():
+            self._is_progress_begun = True
             self._progress.begin(
                 self._end(), self._content_length, initial=self._bytes_before_begin + len(chunk)
             )
-        elif self._is_transfer_begun:
+        elif self._is_progress_begun:
             self._progress.add_received(len(chunk))
         else:
             self._bytes_before_begin += len(chunk)
--- a/railtide/upstreams/upstream_state.py
+++ b/railtide/upstreams/upstream_state.py
@@ -122,7 +122,7 @@
 
     Its record stays listed for seconds. Without this, request after request would try the address
     and need a retry: 3 of 30 consecutive requests at one router did so, and with it 1
-    (`test_address_where_nobody_listens_is_tried_once_while_it_is_listed`).
+    (`test_listed_address_without_a_listener_is_tried_once`).
     """
     upstream.crashed_until = now + CRASHED_HOLD_S
 
