--- a/railtide/edge/node.py
+++ b/railtide/edge/node.py
@@ -433,10 +433,10 @@
         return len(self.roster.advertised()) if self.roster.is_advertised() else 0
 
     def _upstream_read_interval_s(self) -> float:
-        is_advertised = self.roster.is_advertised()
+        advertised = self.roster.is_advertised()
         return (
             self.options.upstream_read_interval_s
-            if is_advertised
+            if advertised
             else self.options.idle_upstream_read_interval_s
         )
 
