--- a/railtide/upstreams/limit_shares.py
+++ b/railtide/upstreams/limit_shares.py
@@ -68,23 +68,23 @@
     def __init__(self, own: str, traffic: Callable[[], RouterTraffic]) -> None:
         self._own = own
         self._traffic = traffic
-        self._known = RouterTraffic()
-        self._pause_by_limit: dict[tuple[str, float], float] = {}
+        self._known_traffic = RouterTraffic()
+        self._interval_by_limit: dict[tuple[str, float], float] = {}
 
     def interval_s(self, upstream: str, per_s: float) -> float:
         """Return the minimum seconds between this router's requests; infinite without a share."""
         traffic = self._traffic()
-        if traffic is not self._known:
-            self._known = traffic
-            self._pause_by_limit.clear()
+        if traffic is not self._known_traffic:
+            self._known_traffic = traffic
+            self._interval_by_limit.clear()
         limit = (upstream, per_s)
-        pause = self._pause_by_limit.get(limit)
-        if pause is None:
-            pause = self._pause_by_limit[limit] = self._compute_interval_s(upstream, per_s)
-        return pause
+        interval = self._interval_by_limit.get(limit)
+        if interval is None:
+            interval = self._interval_by_limit[limit] = self._compute_interval_s(upstream, per_s)
+        return interval
 
     def _compute_interval_s(self, upstream: str, per_s: float) -> float:
-        active, idle = self._known.active, self._known.idle
+        active, idle = self._known_traffic.active, self._known_traffic.idle
         idle_interval_s = len(idle) / (IDLE_SHARE * per_s)
         has_idle_share = 0 < idle_interval_s <= MAX_IDLE_INTERVAL_S
         if self._own in idle:
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -542,7 +542,7 @@
     Mutant(
         "long-prompts-always-apart",
         "upstreams/long_prompt_isolation.py",
-        "if self._paused < max(MIN_PAUSED, self._streams * PAUSED_SHARE):",
+        "if self._paused_count < max(MIN_PAUSED, self._stream_count * PAUSED_SHARE):",
         "if False:",
         ("railtide/upstreams/tests",),
     ),
@@ -1550,8 +1550,8 @@
     Mutant(
         "store-that-is-heard-has-one-longer-wait",
         "journal/response_timeouts.py",
-        "return grown if is_heard or not self._grown else self._usual_s",
-        "return grown if not self._grown else self._usual_s",
+        "return extended if is_responsive or not self._extended else self._usual_s",
+        "return extended if not self._extended else self._usual_s",
         (PATIENCE,),
     ),
     Mutant(
@@ -1592,8 +1592,8 @@
     Mutant(
         "lost-answer-is-taken-for-a-slow-store",
         "journal/response_timeouts.py",
-        "TRIES = 2",
-        "TRIES = 1",
+        "ATTEMPTS_PER_TIMEOUT = 2",
+        "ATTEMPTS_PER_TIMEOUT = 1",
         (PATIENCE,),
     ),
     Mutant(
@@ -1644,7 +1644,7 @@
         "journal/feed.py",
         "if not self._options.skip_superseded:",
         "if False:",
-        ("railtide/membership/tests/test_newest_for_backlog.py",),
+        ("railtide/membership/tests/test_outage_backlog.py",),
     ),
     Mutant(
         "old-record-is-a-sign-of-life",
@@ -1656,7 +1656,7 @@
     Mutant(
         "late-answer-is-never-waited-for",
         "journal/response_timeouts.py",
-        "needed_s * GROWTH ** (silences // TRIES)",
+        "needed_s * GROWTH ** (timed_out // ATTEMPTS_PER_TIMEOUT)",
         "needed_s",
         (PATIENCE,),
     ),
@@ -1677,14 +1677,14 @@
     Mutant(
         "nothing-is-asked-beside-a-call-that-is-silent",
         "journal/hedge.py",
-        "                await self._run(self._beside)\n",
+        "                await self._run(self._hedge)\n",
         "                await trio.sleep_forever()\n",
         (HEDGE, f"{NARROW}::TestSilence"),
     ),
     Mutant(
         "two-answers-of-one-call-are-read",
         "journal/hedge.py",
-        "        if self._claimed_by not in (None, attempt):\n            raise _Beaten\n",
+        "        if self._claimed_by not in (None, attempt):\n            raise _LostRace\n",
         "",
         (HEDGE,),
     ),
@@ -1712,8 +1712,8 @@
     Mutant(
         "routers-that-are-behind-stand-in-for-each-other",
         "membership/roster.py",
-        "return any(router is not None and not router.member.outdated for router in heard)",
-        "return bool(heard)",
+        "return any(router is not None and not router.member.outdated for router in sightings)",
+        "return bool(sightings)",
         (f"{OUTDATED}::TestReplacedState",),
     ),
     Mutant(
@@ -1756,14 +1756,14 @@
     Mutant(
         "wait-for-an-answer-grows-without-end",
         "journal/response_timeouts.py",
-        "min(self._most_s, needed_s * GROWTH ** (silences // TRIES))",
-        "needed_s * GROWTH ** (silences // TRIES)",
+        "min(self._max_s, needed_s * GROWTH ** (timed_out // ATTEMPTS_PER_TIMEOUT))",
+        "needed_s * GROWTH ** (timed_out // ATTEMPTS_PER_TIMEOUT)",
         (PATIENCE,),
     ),
     Mutant(
         "wait-stays-long-behind-an-answer",
         "journal/response_timeouts.py",
-        "            self._silences_by_subject.pop(subject, None)\n",
+        "            self._timeouts_by_subject.pop(subject, None)\n",
         "",
         (PATIENCE,),
     ),
@@ -1833,8 +1833,8 @@
     Mutant(
         "feed-is-current-with-a-version-under-way",
         "journal/feed.py",
-        "return is_heard and self.freshness.unread_since is None",
-        "return is_heard",
+        "return is_caught_up and self.freshness.unread_since is None",
+        "return is_caught_up",
         (FEED,),
     ),
     Mutant(
@@ -1896,28 +1896,28 @@
     Mutant(
         "only-call-of-a-client-never-waits-longer",
         "journal/response_timeouts.py",
-        "return grown if is_heard or not self._grown else self._usual_s",
-        "return grown if is_heard else self._usual_s",
+        "return extended if is_responsive or not self._extended else self._usual_s",
+        "return extended if is_responsive else self._usual_s",
         (f"{NARROW}::TestSlowStore", PATIENCE),
     ),
     Mutant(
         "calls-that-wait-longer-vouch-for-each-other",
         "journal/response_timeouts.py",
-        "        if timeout_s > self._usual_s:\n            self._grown.add(watch)\n",
+        "        if timeout_s > self._usual_s:\n            self._extended.add(watch)\n",
         "",
         (PATIENCE,),
     ),
     Mutant(
         "lower-era-is-an-answer",
         "journal/eras.py",
-        'raise LogUnavailable(f"the answer is of era {era}',
-        'str(f"the answer is of era {era}',
+        'raise LogUnavailable(f"answer is from era {era}',
+        'str(f"answer is from era {era}',
         (ERAS, STORE_ERAS),
     ),
     Mutant(
         "answer-without-an-era-is-one",
         "journal/eras.py",
-        '        raise LogUnavailable("the answer tells no era")\n',
+        '        raise LogUnavailable("the answer states no era")\n',
         "",
         (ERAS, STORE_ERAS),
     ),
@@ -1946,7 +1946,7 @@
     Mutant(
         "bad-eras-are-told-per-call",
         "journal/eras.py",
-        "        self._told.add(value)\n",
+        "        self._logged_values.add(value)\n",
         "",
         (ERAS,),
     ),
@@ -2012,7 +2012,7 @@
     Mutant(
         "life-that-is-gone-comes-back",
         "membership/upstream_list.py",
-        "gone is not None and now < gone.until and gone.is_newer_than(instance)",
+        "removed is not None and now < removed.until and removed.is_newer_than(instance)",
         "False",
         (UPSTREAM_LIST, ROLLBACK),
     ),
@@ -2026,14 +2026,14 @@
     Mutant(
         "numbers-count-without-a-rise",
         "membership/upstream_list.py",
-        "if not instance.born or now >= self._copy_until:",
+        "if not instance.born or now >= self._rollback_until:",
         "if not instance.born:",
         (UPSTREAM_LIST,),
     ),
     Mutant(
         "router-of-the-copy-is-heard",
         "membership/roster.py",
-        "        if known and now < self._copy_until and _is_former(member, known.member):\n"
+        "        if known and now < self._rollback_until and _is_former(member, known.member):\n"
         "            return\n",
         "",
         (f"{MEMBERSHIP}/test_roster.py",),
@@ -2128,14 +2128,14 @@
     Mutant(
         "router-that-is-silent-in-an-era-has-read-all",
         "membership/roster.py",
-        "                least = min(least, read)\n",
-        "                least = min(least, read or math.inf)\n",
+        "                lowest = min(lowest, read)\n",
+        "                lowest = min(lowest, read or math.inf)\n",
         (ROSTER_ERAS,),
     ),
     Mutant(
         "routers-that-died-are-not-missed",
         "membership/roster.py",
-        "return len(self._lived_at.keys() - said - self._left()) + len(unknown)",
+        "return len(self._alive_at_rise.keys() - reporting - self._departed()) + len(unknown)",
         "return len(unknown)",
         (ROSTER_ERAS,),
     ),
@@ -2149,15 +2149,16 @@
     Mutant(
         "copy-shows-who-lives",
         "membership/roster.py",
-        "        lived_through = {life for life in said if lives[life].first_era <= last_opened}\n",
-        "        lived_through = said\n",
+        "        survivors = {process for process in reporting if members[process].first_era <= "
+        "last_opened}\n",
+        "        survivors = reporting\n",
         (ROSTER_ERAS,),
     ),
     Mutant(
         "any-router-knows-the-former-era",
         "membership/roster.py",
-        "            for life in self._named_at_rise\n",
-        "            for life in lives\n",
+        "            for key in self._advertised_at_rise\n",
+        "            for key in members\n",
         (ROSTER_ERAS,),
     ),
     Mutant(
@@ -2225,8 +2226,8 @@
     Mutant(
         "process-of-an-era-that-was-never-open-knows-the-former",
         "membership/roster.py",
-        "lives[life].era == era and lives[life].first_era <= last_opened",
-        "lives[life].era == era",
+        "members[key].era == era and members[key].first_era <= last_opened",
+        "members[key].era == era",
         (FLEET, ROSTER_ERAS),
     ),
     Mutant(
@@ -2302,7 +2303,7 @@
     Mutant(
         "drain-ends-with-a-copy-that-lacks-it",
         "membership/drained_domains.py",
-        "            if trio.current_time() < self._copy_until:",
+        "            if trio.current_time() < self._rollback_until:",
         "            if False:",
         (DRAINS,),
     ),
@@ -2358,7 +2359,7 @@
     Mutant(
         "record-of-a-cold-upstream-passed-over",
         "lanes/pool_upstreams.py",
-        "            upstream.cold_until = max(upstream.cold_until, instance.warm_at)\n",
+        "            current.cold_until = max(current.cold_until, instance.warm_at)\n",
         "",
         (SLOW_START,),
     ),
@@ -2448,7 +2449,7 @@
     Mutant(
         "limits-heard-from-a-backlog",
         "membership/roster.py",
-        "        return not is_back or not self._feed.caught_up",
+        "        return not is_restored or not self._feed.caught_up",
         "        return False",
         (f"{MEMBERSHIP}/test_roster.py",),
     ),
@@ -2476,7 +2477,7 @@
     Mutant(
         "routers-that-are-asked-but-not-named-have-no-part",
         "membership/router_selection.py",
-        "if c.endpoint.name in names or c.load > least]",
+        "if c.endpoint.name in names or c.load > min_load]",
         "if c.endpoint.name in names]",
         (f"{MEMBERSHIP}/test_router_selection.py",),
     ),
@@ -2518,14 +2519,14 @@
     Mutant(
         "leaving-in-an-answer-binds-another-life",
         "membership/upstream_list.py",
-        "        if known and _Service.of(known) == service:",
+        "        if known and _PoolIncarnation.of(known) == pool_incarnation:",
         "        if known:",
         (UPSTREAM_LIST,),
     ),
     Mutant(
         "lapsed-record-forgets-that-its-upstream-left",
         "membership/upstream_list.py",
-        "                self._left_until_by_name[name] = now + LEFT_KEPT_S\n",
+        "                self._left_until_by_name[name] = now + LEFT_RETENTION_S\n",
         "                self._left_by_name.pop(name, None)\n",
         (UPSTREAM_LIST,),
     ),
