--- a/railtide/requests/passthrough.py
+++ b/railtide/requests/passthrough.py
@@ -95,8 +95,8 @@
             raise UpstreamLost("the body ends with its connection and contains another answer")
         if self._sink.started:
             # Passed on after the events of an earlier attempt, a failure looks like the end of a
-            # complete answer: it did to four callers in two soak runs of 34 s with crashes and
-            # failing upstreams.
+            # complete answer: it did to four callers in two simulated days of 34 s with crashes
+            # and failing upstreams.
             raise UpstreamLost(f"the resumed stream was answered with status {answer.status}")
         cost = self._call.reserve if answer.status == OK_STATUS else self.delivered_cost()
         relayed = Relayed(cost, stored, stored.body, answer.headers, answer.framed)
