--- a/railtide/keeper/keeper.py
+++ b/railtide/keeper/keeper.py
@@ -221,7 +221,7 @@
             del self._subscriber_by_holder[holder]
             self.fencer.link_lost(holder)
 
-    def take_entry(self, subscriber: Subscriber, entry: Entry, traceparent: str = "") -> None:
+    def handle_entry(self, subscriber: Subscriber, entry: Entry, traceparent: str = "") -> None:
         """Take an entry of a router: answer from what is folded, else queue it."""
         self._subscriber_by_holder[entry.holder] = subscriber
         self.fencer.link_back(entry.holder)
--- a/railtide/keeper/server.py
+++ b/railtide/keeper/server.py
@@ -93,7 +93,7 @@
         elif isinstance(message, SubscribeMessage):
             keeper.subscribe(subscriber)
         elif isinstance(message, EntryMessage):
-            keeper.take_entry(subscriber, message.entry, message.traceparent)
+            keeper.handle_entry(subscriber, message.entry, message.traceparent)
 
 
 async def _answer_read(
--- a/tests/matrix/world.py
+++ b/tests/matrix/world.py
@@ -385,7 +385,7 @@
         self._submit(OpenHolder("operator", "", "", Role.OPERATOR, self._keeper.state.stamp))
 
     def _send(self, entry: Entry, traceparent: str) -> None:
-        self._keeper.take_entry(self, entry)
+        self._keeper.handle_entry(self, entry)
 
     def deliver(self, message: Message) -> None:
         if isinstance(message, VerdictMessage):
