--- a/railtide/keeper/appender.py
+++ b/railtide/keeper/appender.py
@@ -75,7 +75,7 @@
         span = _tracer.start_span("keeper.entry", context_of(traceparent))
         self._spans_by_holder_and_seq[(entry.holder, entry.seq)] = span
 
-    def passed(self, holder: str, seq: int) -> None:
+    def discard_decided(self, holder: str, seq: int) -> None:
         """Drop the holder's entries up to `seq`: the fold has decided on them."""
         queue = self._entries_by_holder.get(holder)
         if queue is None:
--- a/railtide/keeper/keeper.py
+++ b/railtide/keeper/keeper.py
@@ -251,7 +251,7 @@
     def _on_restored(self) -> None:
         """Tell what changed in the records that a checkpoint stood for."""
         for holder, known in self.state.by_holder.items():
-            self.appender.passed(holder, known.last_seq)
+            self.appender.discard_decided(holder, known.last_seq)
             subscriber = self._subscriber_by_holder.get(holder)
             for verdict in known.by_seq.values():
                 if self._writer and holder == self._writer.holder:
@@ -274,7 +274,7 @@
     def _on_folded(self, taken: list[FoldedEntry]) -> None:
         for folded in taken:
             self.fencer.hear(folded.holder)
-            self.appender.passed(folded.holder, folded.verdict.seq)
+            self.appender.discard_decided(folded.holder, folded.verdict.seq)
             self._tell_writer(folded)
             self._tell_of_record(folded)
 
--- a/railtide/keeper/tests/test_appender.py
+++ b/railtide/keeper/tests/test_appender.py
@@ -58,7 +58,7 @@
 
     def _on_folded(self, taken) -> None:
         for folded in taken:
-            self.appender.passed(folded.holder, folded.verdict.seq)
+            self.appender.discard_decided(folded.holder, folded.verdict.seq)
 
     async def append_all(self, *entries) -> None:
         async with trio.open_nursery() as nursery:
--- a/railtide/operators/session.py
+++ b/railtide/operators/session.py
@@ -95,7 +95,7 @@
 
     def _on_folded(self, taken: list[FoldedEntry]) -> None:
         for folded in taken:
-            self.appender.passed(folded.holder, folded.verdict.seq)
+            self.appender.discard_decided(folded.holder, folded.verdict.seq)
             if self._writer and folded.holder == self._writer.holder:
                 self._writer.apply_verdict(folded.verdict)
 
