--- a/railtide/keeper/__init__.py
+++ b/railtide/keeper/__init__.py
@@ -1,1 +1,1 @@
-"""The keeper: follows the log for the routers beside it and appends in groups for them."""
+"""The keeper: reads the log for the routers of its instance and batches their appends to it."""
--- a/railtide/keeper/app.py
+++ b/railtide/keeper/app.py
@@ -1,4 +1,4 @@
-"""The keeper's HTTP side: health, readiness, metrics, status, traces."""
+"""The keeper's HTTP endpoints: health, readiness, metrics, status, traces."""
 
 import msgspec
 from quart_trio import QuartTrio
@@ -12,7 +12,7 @@
 
 
 class BalanceStatus(msgspec.Struct):
-    """One budget, units."""
+    """One account's budget, units."""
 
     topped_up: int
     billed: int
@@ -85,7 +85,7 @@
 
 
 def make_app(keeper: Keeper, spans: SpanStore | None = None) -> QuartTrio:
-    """Return the keeper's application."""
+    """Return the keeper's HTTP application."""
     app = QuartTrio("railtide.keeper")
 
     add_common_pages(app, lambda: keeper.ready, lambda: status_of(keeper), spans)
--- a/railtide/keeper/appender.py
+++ b/railtide/keeper/appender.py
@@ -1,4 +1,4 @@
-"""The appender: puts waiting entries into the log in groups, until the fold has seen each."""
+"""The appender: appends queued entries to the log in batches until each has been folded."""
 
 import math
 from collections.abc import Callable
@@ -19,25 +19,25 @@
 __all__ = ["Appender"]
 
 FOLD_WAIT_S = 5.0
-"""Between two looks for entries to send while the fold is behind."""
+"""Seconds between two checks for entries to send while the fold lags behind the log."""
 APPEND_BYTES = 262_144
-"""Bytes of records from which on an append takes no more: 0.6 s of a link of 5 Mbit/s in base64.
-What was appended is done, whatever becomes of the rest."""
+"""Bytes of records at which a batch is closed: 0.6 s on a link of 5 Mbit/s in base64.
+A batch that was appended need not be sent again if a later one fails."""
 
 _tracer = trace.get_tracer("railtide.keeper")
 
 
 class Appender:
-    """Group append for the writers beside a keeper.
+    """Appends entries in batches for the writers of a keeper's instance.
 
     Notes
     -----
-    An entry leaves the queue only when the fold has passed it, not when an append was answered:
-    so a lost answer, an append that never arrived and one that arrived twice are all cured by
-    appending again. While the fold is behind an append that was answered, its entries are not sent
-    again: the log would grow by that for all who read it, and the fold fall behind further.
-    Entries of a holder that the fold does not know even after the append (its `OpenHolder` was too
-    old) are handed to `on_refused`.
+    An entry leaves the queue only once the fold has decided on it, not when an append was
+    answered: a lost answer and an append that never arrived are thus repaired by appending again,
+    and the fold skips an entry that arrived twice. While the fold has not reached the offset of an
+    answered append, its entries are not sent again: that would lengthen the log for all its readers
+    and delay the fold further. Entries of a holder that the fold does not know even after the
+    append (its `OpenHolder` was too old) are passed to `on_refused`.
     """
 
     def __init__(
@@ -58,18 +58,18 @@
         self._on_refused = on_refused
         self._backoff = Backoff(options.backoff_s, options.backoff_max_s, rng)
         self._entries_by_holder: dict[str, dict[int, Entry]] = {}
-        self._waiting = trio.Event()
+        self._entry_added = trio.Event()
         self._in_flight: set[tuple[str, int]] = set()
-        self._offset_by_sent: dict[tuple[str, int], int] = {}
+        self._append_offset_by_key: dict[tuple[str, int], int] = {}
         self._append_scope = trio.CancelScope()
         self._spans_by_holder_and_seq: dict[tuple[str, int], trace.Span] = {}
 
     def add(self, entry: Entry, traceparent: str = "") -> None:
-        """Queue an entry; with a traceparent its way into the log is a span."""
+        """Queue an entry; with a traceparent, a span covers the time until it is folded."""
         self._entries_by_holder.setdefault(entry.holder, {})[entry.seq] = entry
         if traceparent:
             self._start_span(entry, traceparent)
-        self._waiting.set()
+        self._entry_added.set()
 
     def _start_span(self, entry: Entry, traceparent: str) -> None:
         span = _tracer.start_span("keeper.entry", context_of(traceparent))
@@ -83,7 +83,7 @@
         while queue and (old := next(iter(queue))) <= seq:
             del queue[old]
             self._in_flight.discard((holder, old))
-            self._offset_by_sent.pop((holder, old), None)
+            self._append_offset_by_key.pop((holder, old), None)
             span = self._spans_by_holder_and_seq.pop((holder, old), None)
             if span:
                 span.end()
@@ -92,7 +92,7 @@
         if not self._in_flight:
             self._append_scope.cancel()
 
-    def pending_of(self, holder: str) -> bool:
+    def has_pending(self, holder: str) -> bool:
         """Return whether entries of the holder are queued."""
         return holder in self._entries_by_holder
 
@@ -101,7 +101,7 @@
         return sum(len(queue) for queue in self._entries_by_holder.values())
 
     async def run(self) -> None:
-        """Append for ever."""
+        """Append batches until cancelled."""
         while True:
             batch = await self._wait_for_batch()
             try:
@@ -112,18 +112,18 @@
 
     async def _wait_for_batch(self) -> list[Entry]:
         while not (batch := self._next_batch()):
-            self._waiting = trio.Event()
+            self._entry_added = trio.Event()
             with trio.move_on_after(FOLD_WAIT_S if self._entries_by_holder else math.inf):
-                await self._waiting.wait()
+                await self._entry_added.wait()
         return batch
 
     def _is_ahead_of_fold(self, entry: Entry) -> bool:
-        """Return whether an entry is in the log where the fold has not come to yet."""
-        offset = self._offset_by_sent.get((entry.holder, entry.seq), -1)
+        """Return whether an entry was appended at an offset that the fold has not reached yet."""
+        offset = self._append_offset_by_key.get((entry.holder, entry.seq), -1)
         return offset > self._follower.state.offset
 
     def _next_batch(self) -> list[Entry]:
-        """Return the oldest entries of each holder that are to be sent, in each holder's order."""
+        """Return the entries to send next, each holder's in order of sequence number."""
         batch: list[Entry] = []
         size = 0
         for queue in self._entries_by_holder.values():
@@ -141,9 +141,9 @@
         began = trio.current_time()
         self.appends += 1
         self.bytes_appended += len(data)
-        offset = await self._append_or_see_it_folded(batch, data)
+        offset = await self._append_until_folded(batch, data)
         self._backoff.reset()
-        self._offset_by_sent |= {
+        self._append_offset_by_key |= {
             (entry.holder, entry.seq): offset
             for entry in batch
             if entry.seq in self._entries_by_holder.get(entry.holder, ())
@@ -151,14 +151,14 @@
         with trio.move_on_after(FOLD_WAIT_S):
             await self._follower.wait_for(offset)
             self._refuse_unknown(batch)
-        rest = began + self._options.append_interval_s - trio.current_time()
-        if rest > 0:
-            await trio.sleep(rest)
+        remaining_s = began + self._options.append_interval_s - trio.current_time()
+        if remaining_s > 0:
+            await trio.sleep(remaining_s)
 
-    async def _append_or_see_it_folded(self, batch: list[Entry], data: bytes) -> int:
-        """Append and return the offset; stop waiting once the fold has passed the whole batch.
+    async def _append_until_folded(self, batch: list[Entry], data: bytes) -> int:
+        """Append and return the offset; stop waiting once the whole batch has been folded.
 
-        An answer that is lost after the append took effect so costs no timeout.
+        So an answer that is lost after the append took effect does not cost a timeout.
         """
         self._in_flight = {(entry.holder, entry.seq) for entry in batch}
         with trio.CancelScope() as self._append_scope, self._log_span(batch):
@@ -167,7 +167,7 @@
         return self._follower.state.offset
 
     def _log_span(self, batch: list[Entry]) -> AbstractContextManager[object]:
-        """Return a span of the group append, below the first traced entry in it."""
+        """Return a span of the append, a child of the first traced entry's span in the batch."""
         for entry in batch:
             span = self._spans_by_holder_and_seq.get((entry.holder, entry.seq))
             if span:
@@ -180,5 +180,5 @@
         for holder in sorted({entry.holder for entry in batch} - known.keys()):
             refused = self._entries_by_holder.pop(holder, {})
             for seq in refused:
-                self._offset_by_sent.pop((holder, seq), None)
+                self._append_offset_by_key.pop((holder, seq), None)
             self._on_refused(list(refused.values()))
--- a/railtide/keeper/assembly.py
+++ b/railtide/keeper/assembly.py
@@ -1,4 +1,4 @@
-"""A keeper put together with its two ways to the log."""
+"""Construction of a keeper with direct and relayed access to the log."""
 
 from dataclasses import dataclass
 from functools import partial
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class KeeperParts:
-    """A keeper and its own way to the log, which other keepers may use."""
+    """A keeper and its direct access to the log, which serves other keepers too."""
 
     keeper: Keeper
     direct: DirectLog
@@ -31,7 +31,7 @@
     options: KeeperOptions,
     rng: Random,
 ) -> KeeperParts:
-    """Return a keeper that goes through other keepers when it is cut off from the log."""
+    """Return a keeper that uses other keepers while it is cut off from the log."""
     direct = DirectLog(log)
 
     def peers() -> list[Connect]:
--- a/railtide/keeper/fencing.py
+++ b/railtide/keeper/fencing.py
@@ -1,7 +1,7 @@
-"""Fencing: proposes a fence for holders that are silent, or whose link is gone.
+"""Fencing: proposes a fence for holders whose lease has expired or whose link is lost.
 
-It only decides how soon budget and open requests come back. That a fence is harmless for a holder
-that is alive after all is the fold's work.
+This only decides how soon the holder's budget and open requests are recovered. The fold ensures
+that fencing a holder that is still alive does no harm.
 """
 
 from collections.abc import Callable
@@ -13,18 +13,19 @@
 from railtide.journal.state import State
 from railtide.journal.writer import Writer
 from railtide.keeper.appender import Appender
-from railtide.keeper.leases import lapsed_holders
+from railtide.keeper.leases import expired_holders
 from railtide.keeper.options import KeeperOptions
-from railtide.keeper.views import is_alive, rank_of
+from railtide.keeper.views import is_alive, keeper_rank
 
 __all__ = ["Fencer"]
 
-TICKS_PER_WAIT = 3
-PAUSE_TICKS = 4
+TICKS_PER_TIMEOUT = 3
+SUSPENSION_TICKS = 4
+"""A sleep of more ticks than this means that the process was suspended: all leases are renewed."""
 
 
 class Fencer:
-    """Watches holders on this keeper's own clock.
+    """Fences unresponsive holders by this keeper's own monotonic clock.
 
     Parameters
     ----------
@@ -32,7 +33,7 @@
     state : callable
         Returns the folded state.
     appender : Appender
-        A holder with entries queued here is not silent.
+        A holder with entries queued here is not fenced for a lost link.
     writer : callable
         Returns this keeper's own writer while it may fence, else None.
     """
@@ -49,61 +50,61 @@
         self._state = state
         self._appender = appender
         self._writer = writer
-        self._heard_by_holder: dict[str, float] = {}
+        self._last_heard_by_holder: dict[str, float] = {}
         self._lost_at_by_holder: dict[str, float] = {}
 
-    def hear(self, holder: str) -> None:
-        """Note that an entry of a holder was folded."""
-        self._heard_by_holder[holder] = trio.current_time()
+    def note_entry(self, holder: str) -> None:
+        """Renew a holder's lease: an entry of it was folded."""
+        self._last_heard_by_holder[holder] = trio.current_time()
 
-    def hear_all(self) -> None:
-        """Give every holder a whole lease again, after a time in which the log was not heard."""
+    def renew_all(self) -> None:
+        """Renew the leases of all holders, after a time in which the log could not be read."""
         now = trio.current_time()
-        self._heard_by_holder = {name: now for name in self._state().by_holder}
+        self._last_heard_by_holder = {name: now for name in self._state().by_holder}
 
     def forget(self, holder: str) -> None:
         """Stop watching a holder that closed."""
-        self._heard_by_holder.pop(holder, None)
+        self._last_heard_by_holder.pop(holder, None)
         self._lost_at_by_holder.pop(holder, None)
 
-    def link_lost(self, holder: str) -> None:
-        """Note that a router's link to this keeper is gone."""
+    def note_link_lost(self, holder: str) -> None:
+        """Note that a router's link to this keeper is lost."""
         self._lost_at_by_holder[holder] = trio.current_time()
 
-    def link_back(self, holder: str) -> None:
-        """Note that a router writes through this keeper."""
+    def note_link_restored(self, holder: str) -> None:
+        """Note that a router writes through this keeper (again)."""
         self._lost_at_by_holder.pop(holder, None)
 
     async def run(self) -> None:
-        """Watch for ever."""
-        tick = min(self._options.lost_link_s, self._options.lease_s) / TICKS_PER_WAIT
+        """Check leases and links until cancelled."""
+        tick = min(self._options.lost_link_s, self._options.lease_s) / TICKS_PER_TIMEOUT
         slept_at = trio.current_time()
         while True:
             await trio.sleep(tick)
-            if trio.current_time() - slept_at > PAUSE_TICKS * tick:
-                self.hear_all()
+            if trio.current_time() - slept_at > SUSPENSION_TICKS * tick:
+                self.renew_all()
             slept_at = trio.current_time()
             writer = self._writer()
             if writer:
-                self._fence_lapsed(writer)
+                self._fence_expired(writer)
                 self._fence_lost_links(writer)
 
-    def _fence_lapsed(self, writer: Writer) -> None:
-        """Fence the silent; a keeper of higher rank waits longer, so that not all fence at once."""
+    def _fence_expired(self, writer: Writer) -> None:
+        """Fence expired holders; keepers of higher rank wait longer, so not all fence at once."""
         now = trio.current_time()
         by_holder = self._state().by_holder
-        rank = rank_of(by_holder, writer.holder)
+        rank = keeper_rank(by_holder, writer.holder)
         lease_s = self._options.lease_s + rank * self._options.lost_link_s
-        for holder in lapsed_holders(by_holder, self._heard_by_holder, now, lease_s):
+        for holder in expired_holders(by_holder, self._last_heard_by_holder, now, lease_s):
             self._fence(writer, holder)
-            self._heard_by_holder[holder] = now
+            self._last_heard_by_holder[holder] = now
 
     def _fence_lost_links(self, writer: Writer) -> None:
         now = trio.current_time()
         due = [
             holder
             for holder, lost_at in self._lost_at_by_holder.items()
-            if now - lost_at > self._options.lost_link_s and not self._appender.pending_of(holder)
+            if now - lost_at > self._options.lost_link_s and not self._appender.has_pending(holder)
         ]
         for holder in due:
             del self._lost_at_by_holder[holder]
--- a/railtide/keeper/follower.py
+++ b/railtide/keeper/follower.py
@@ -1,4 +1,4 @@
-"""The follower: reads the log in order into the folded state and never goes back."""
+"""The follower: folds the records of the log into the state, in order and each once."""
 
 from collections import deque
 from collections.abc import Callable
@@ -20,7 +20,7 @@
 
 
 class Follower:
-    """Follows one stream.
+    """Follows one stream of the log.
 
     Parameters
     ----------
@@ -28,11 +28,11 @@
     options : KeeperOptions
     rng : random.Random
     on_folded : callable
-        Told of what each record changed, after it is in the state.
+        Called with the entries of each record after it has been folded.
     on_reachable : callable
-        Told of each change between a log that answers and one that does not.
+        Called when the log becomes reachable or unreachable.
     on_restored : callable
-        Told after the state has been replaced by a checkpoint.
+        Called after the state has been replaced by a checkpoint.
     """
 
     def __init__(
@@ -55,43 +55,43 @@
         self._on_folded = on_folded
         self._on_reachable = on_reachable
         self._on_restored = on_restored
-        self._moved = trio.Event()
-        self._goal: int | None = None
+        self._advanced = trio.Event()
+        self._initial_head: int | None = None
         self._checkpoint: CheckpointReader | None = None
         self._limit = options.read_limit
         self._journal_read = 0
 
     @property
     def records_read(self) -> int:
-        """How many records were read so far, of the journal and of the checkpoint under way."""
-        of_checkpoint = self._checkpoint.records_read if self._checkpoint else 0
-        return self._journal_read + of_checkpoint
+        """Number of records read so far, of the journal and of the checkpoint being read."""
+        checkpoint_records = self._checkpoint.records_read if self._checkpoint else 0
+        return self._journal_read + checkpoint_records
 
     async def run(self) -> None:
-        """Start from the newest checkpoint and follow the log for ever."""
+        """Start from the newest checkpoint and follow the log until cancelled."""
         while True:
             try:
                 await self._restore()
                 await self._follow()
             except LogUnavailable:
-                await self._pause()
+                await self._back_off()
             except RecordsExpired:
                 logger.warning("records expired before they were read; starting from a checkpoint")
 
     async def wait_for(self, offset: int) -> None:
-        """Return once the state holds `offset`."""
+        """Return once the state is folded up to `offset`."""
         while self.state.offset < offset:
-            await self._moved.wait()
+            await self._advanced.wait()
 
     async def _restore(self) -> None:
         if self._checkpoint is None:
             self._checkpoint = CheckpointReader(self._log, self._options.stream)
-        known = self._checkpoint.records_read
+        read_before = self._checkpoint.records_read
         try:
             checkpoint = await self._checkpoint.newest()
         except LogUnavailable:
-            if self._checkpoint.records_read > known:
-                self._backoff.reset()  # the log answers, now and then
+            if self._checkpoint.records_read > read_before:
+                self._backoff.reset()  # the log answers at times
             raise
         self._checkpoint = None
         if checkpoint and checkpoint.offset > self.state.offset:
@@ -101,10 +101,10 @@
             logger.info("state restored from the checkpoint at offset {}", checkpoint.offset)
 
     async def _follow(self) -> None:
-        """Read on; a read that failed is tried with half as many records, down to one.
+        """Read and fold records; each failed read halves the number asked for, down to one.
 
-        What broke a link once breaks it again: the same records, asked for at once, would never
-        come, and each try costs the link what they need.
+        A reply too large for the link would fail again each time, so that the same records would
+        never arrive and every attempt would use up the bandwidth they need.
         """
         options = self._options
         while True:
@@ -112,11 +112,11 @@
                 page = await self._read()
             except LogUnavailable:
                 self._limit = max(1, self._limit // 2)
-                await self._pause()
+                await self._back_off()
                 continue
             self._limit = min(options.read_limit, 2 * self._limit)
             self._backoff.reset()
-            self._take(page)
+            self._fold_page(page)
             self._set_reachable(True)
 
     async def _read(self) -> Page:
@@ -125,15 +125,15 @@
         wait_s = options.read_wait_s if self.caught_up else 0
         return await self._log.read(options.stream, start, self._limit, wait_s)
 
-    def _take(self, page: Page) -> None:
+    def _fold_page(self, page: Page) -> None:
         self._journal_read += len(page.records)
         for record in page.records:
             if record.offset != self.state.offset + 1:
                 break
             self._fold_record(record)
-        if self._goal is None:
-            self._goal = page.head
-        if self.state.offset + 1 >= self._goal:
+        if self._initial_head is None:
+            self._initial_head = page.head
+        if self.state.offset + 1 >= self._initial_head:
             self.caught_up = True
 
     def _fold_record(self, record: LogRecord) -> None:
@@ -144,11 +144,11 @@
             entries = []
         folded = fold(self.state, record.offset, record.stamp, entries)
         self.tail.append(record)
-        self._moved.set()
-        self._moved = trio.Event()
+        self._advanced.set()
+        self._advanced = trio.Event()
         self._on_folded(folded)
 
-    async def _pause(self) -> None:
+    async def _back_off(self) -> None:
         self._set_reachable(False)
         await trio.sleep(self._backoff.next_wait())
 
--- a/railtide/keeper/keeper.py
+++ b/railtide/keeper/keeper.py
@@ -1,4 +1,4 @@
-"""The keeper of one instance: the folded state, and what each connected router must know."""
+"""The keeper of one instance: the folded state, and the messages it sends to its routers."""
 
 from abc import ABC, abstractmethod
 from random import Random
@@ -18,7 +18,7 @@
 from railtide.keeper.fencing import Fencer
 from railtide.keeper.follower import Follower
 from railtide.keeper.options import KeeperOptions
-from railtide.keeper.views import members_of, orphans_by_router, rank_of
+from railtide.keeper.views import keeper_rank, members_of, orphans_by_router
 from railtide.membership.errors import InstanceListUnavailable
 from railtide.membership.identity import Identity, Role
 from railtide.membership.instances import (
@@ -38,20 +38,21 @@
 
 __all__ = ["Keeper", "Subscriber"]
 
-LEASE_PARTS = 3
-LEAVE_S = 5.0
+INTERVAL_DIVISOR = 3
+"""Divides the lease into heartbeat intervals and the checkpoint interval into turns by rank."""
+SHUTDOWN_TIMEOUT_S = 5.0
 
 
 class Subscriber(ABC):
-    """A router's end at the keeper; `deliver` must not block."""
+    """Receives the keeper's messages for one router; `deliver` must not block."""
 
     @abstractmethod
     def deliver(self, message: Message) -> None:
-        """Take a message for the router."""
+        """Queue a message for the router."""
 
 
 class Keeper:
-    """Follows and appends; tells subscribers what changed.
+    """Follows the log, appends to it and sends each change to the subscribers.
 
     Parameters
     ----------
@@ -60,7 +61,7 @@
     instances : InstanceList
     options : KeeperOptions
     rng : random.Random
-        For jitter.
+        Jitter of the backoff.
     """
 
     def __init__(
@@ -95,13 +96,13 @@
 
     @property
     def ready(self) -> bool:
-        """True once the head seen at the start has been folded."""
+        """True once the log is folded up to the head seen at the start."""
         return self.follower.caught_up
 
     # -- running ------------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Run all duties until cancelled."""
+        """Run all background tasks until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.follower.run)
             nursery.start_soon(self.appender.run)
@@ -113,11 +114,11 @@
             nursery.start_soon(self._run_status)
 
     async def leave(self) -> None:
-        """Append what is queued and close this keeper's holder, as long as the log answers."""
+        """Append the queued entries and close this keeper's holder; stop after a timeout."""
         if self._writer is None:
             return
         self._writer.submit(CloseHolder())
-        with trio.move_on_after(LEAVE_S):
+        with trio.move_on_after(SHUTDOWN_TIMEOUT_S):
             while self.appender.pending():
                 await trio.sleep(self.options.append_interval_s)
 
@@ -137,15 +138,15 @@
             await trio.sleep(self.options.append_interval_s)
         self._writer = self._open_writer()
         while True:
-            await trio.sleep(self.options.lease_s / LEASE_PARTS)
+            await trio.sleep(self.options.lease_s / INTERVAL_DIVISOR)
             if self._writer.fenced:
                 self._writer.submit(CloseHolder())
                 self._writer = self._open_writer()
-            elif not self.appender.pending_of(self._writer.holder):
+            elif not self.appender.has_pending(self._writer.holder):
                 self._writer.submit(Heartbeat())
 
     def _fencing_writer(self) -> Writer | None:
-        """Return the writer while the log is heard and this keeper is not fenced itself."""
+        """Return the writer while the log is reachable and this keeper is not fenced itself."""
         if not self.follower.reachable or self._writer is None or self._writer.fenced:
             return None
         return self._writer
@@ -163,9 +164,9 @@
         while True:
             await trio.sleep(self.options.orphan_interval_s)
             if self.ready:
-                self._hand_out_orphans()
+                self._assign_orphans()
 
-    def _hand_out_orphans(self) -> None:
+    def _assign_orphans(self) -> None:
         by_router = orphans_by_router(self.state, self._subscriber_by_holder)
         for router, orphans in by_router.items():
             for orphan in orphans:
@@ -178,11 +179,11 @@
                 await self._write_checkpoint()
 
     def _checkpoint_due(self) -> bool:
-        """Return whether it is this keeper's turn; a lower rank has its turn earlier."""
+        """Return whether this keeper is to write a checkpoint; a lower rank does so earlier."""
         every = self.options.checkpoint_every
         age = self.state.offset - self.state.checkpoint_offset
-        rank = rank_of(self.state.by_holder, self._writer.holder)
-        return age >= every + rank * every // LEASE_PARTS
+        rank = keeper_rank(self.state.by_holder, self._writer.holder)
+        return age >= every + rank * every // INTERVAL_DIVISOR
 
     async def _write_checkpoint(self) -> None:
         offset = self.state.offset
@@ -198,33 +199,33 @@
     async def _run_status(self) -> None:
         while True:
             await trio.sleep(self.options.list_interval_s)
-            self._tell_all(self._status())
+            self._broadcast(self._status())
 
     # -- subscribers --------------------------------------------------------------------------
 
     def subscribe(self, subscriber: Subscriber) -> None:
-        """Connect a router: it is told all that is in force, then each change."""
+        """Connect a router: it receives the current state, then each change."""
         self._subscribers[id(subscriber)] = subscriber
-        self._tell_everything(subscriber)
+        self._deliver_snapshot(subscriber)
 
-    def _tell_everything(self, subscriber: Subscriber) -> None:
+    def _deliver_snapshot(self, subscriber: Subscriber) -> None:
         for (kind, name), item in self.state.catalog.by_kind_and_name.items():
             subscriber.deliver(ObjectMessage(kind, name, item.version, item.body, item.offset))
         subscriber.deliver(MembersMessage(self._members))
         subscriber.deliver(self._status())
 
     def unsubscribe(self, subscriber: Subscriber) -> None:
-        """Forget a router whose link is gone; its holders are fenced unless they come back."""
+        """Remove a router whose link is lost; its holders are fenced unless they reconnect."""
         self._subscribers.pop(id(subscriber), None)
         holders = [h for h, s in self._subscriber_by_holder.items() if s is subscriber]
         for holder in holders:
             del self._subscriber_by_holder[holder]
-            self.fencer.link_lost(holder)
+            self.fencer.note_link_lost(holder)
 
     def handle_entry(self, subscriber: Subscriber, entry: Entry, traceparent: str = "") -> None:
-        """Take an entry of a router: answer from what is folded, else queue it."""
+        """Queue a router's entry, or send its verdict if it has been folded already."""
         self._subscriber_by_holder[entry.holder] = subscriber
-        self.fencer.link_back(entry.holder)
+        self.fencer.note_link_restored(entry.holder)
         holder = self.state.by_holder.get(entry.holder)
         if holder is None or entry.seq > holder.last_seq:
             self.appender.add(entry, traceparent)
@@ -233,7 +234,7 @@
         if verdict:
             subscriber.deliver(VerdictMessage(entry.holder, verdict))
 
-    def _tell_all(self, message: Message) -> None:
+    def _broadcast(self, message: Message) -> None:
         for subscriber in self._subscribers.values():
             subscriber.deliver(message)
 
@@ -245,11 +246,11 @@
 
     def _on_reachable(self, reachable: bool) -> None:
         if reachable:
-            self.fencer.hear_all()
-        self._tell_all(self._status())
+            self.fencer.renew_all()
+        self._broadcast(self._status())
 
     def _on_restored(self) -> None:
-        """Tell what changed in the records that a checkpoint stood for."""
+        """Deliver verdicts and state that a checkpoint has brought in place of single records."""
         for holder, known in self.state.by_holder.items():
             self.appender.discard_decided(holder, known.last_seq)
             subscriber = self._subscriber_by_holder.get(holder)
@@ -259,10 +260,10 @@
                 if subscriber:
                     subscriber.deliver(VerdictMessage(holder, verdict))
         for subscriber in self._subscribers.values():
-            self._tell_everything(subscriber)
+            self._deliver_snapshot(subscriber)
 
     def _on_refused(self, entries: list[Entry]) -> None:
-        """Tell a writer that the fold will never take its holder."""
+        """Send a fenced verdict to writers whose holder the fold does not accept."""
         for entry in entries:
             verdict = Verdict(entry.seq, VerdictCode.REFUSED, self.state.offset, fenced=True)
             subscriber = self._subscriber_by_holder.get(entry.holder)
@@ -271,35 +272,35 @@
             elif self._writer and entry.holder == self._writer.holder:
                 self._writer.apply_verdict(verdict)
 
-    def _on_folded(self, taken: list[FoldedEntry]) -> None:
-        for folded in taken:
-            self.fencer.hear(folded.holder)
+    def _on_folded(self, entries: list[FoldedEntry]) -> None:
+        for folded in entries:
+            self.fencer.note_entry(folded.holder)
             self.appender.discard_decided(folded.holder, folded.verdict.seq)
-            self._tell_writer(folded)
-            self._tell_of_record(folded)
+            self._deliver_verdict(folded)
+            self._publish_record(folded)
 
-    def _tell_writer(self, folded: FoldedEntry) -> None:
+    def _deliver_verdict(self, folded: FoldedEntry) -> None:
         if self._writer and folded.holder == self._writer.holder:
             self._writer.apply_verdict(folded.verdict)
         subscriber = self._subscriber_by_holder.get(folded.holder)
         if subscriber:
             subscriber.deliver(VerdictMessage(folded.holder, folded.verdict))
 
-    def _tell_of_record(self, folded: FoldedEntry) -> None:
+    def _publish_record(self, folded: FoldedEntry) -> None:
         record = folded.record
         code = folded.verdict.code
         if isinstance(record, Proposal) and code == VerdictCode.OK:
-            self._tell_of_object(record)
+            self._publish_object(record)
         elif isinstance(record, Grant) and code == VerdictCode.BUDGET_EXHAUSTED:
-            self._tell_all(DemandMessage(record.account))
+            self._broadcast(DemandMessage(record.account))
         elif isinstance(record, OpenHolder | CloseHolder | Leaving | Fence):
             self._announce_members()
             if isinstance(record, CloseHolder):
                 self.fencer.forget(folded.holder)
 
-    def _tell_of_object(self, record: Proposal) -> None:
+    def _publish_object(self, record: Proposal) -> None:
         item = self.state.catalog.by_kind_and_name[(record.kind, record.name)]
-        self._tell_all(
+        self._broadcast(
             ObjectMessage(record.kind, record.name, item.version, item.body, item.offset)
         )
 
@@ -307,4 +308,4 @@
         members = members_of(self.state.by_holder, self.listed)
         if members != self._members:
             self._members = members
-            self._tell_all(MembersMessage(members))
+            self._broadcast(MembersMessage(members))
--- a/railtide/keeper/options.py
+++ b/railtide/keeper/options.py
@@ -7,32 +7,33 @@
 
 @dataclass(frozen=True)
 class KeeperOptions:
-    """How a keeper behaves.
+    """Settings of a keeper.
 
     Attributes
     ----------
     stream : str
-        The stream of the log that holds the journal.
+        Stream of the log that holds the journal.
     append_interval_s : float
-        Least time between two group appends.
+        Minimum time between two batch appends.
     append_batch : int
-        Most entries in one group append.
+        Maximum number of entries in one batch.
     read_limit, read_wait_s
-        Most records in one read, and how long a read waits for the first.
+        Maximum number of records in one read, and how long a read waits for the first.
     backoff_s, backoff_max_s : float
-        First and longest wait after a failure of the log; each wait is drawn at random below it.
+        Initial and maximum bound of the backoff after a failure of the log; each wait is drawn at
+        random below the bound.
     lease_s : float
-        A holder that wrote nothing for so long is fenced.
+        A holder that wrote nothing for this long is fenced.
     lost_link_s : float
-        A router on this instance whose link has been gone for so long is fenced.
+        A router on this instance is fenced when its link has been lost for this long.
     checkpoint_every : int
         Records of the log between checkpoints.
     list_interval_s : float
-        Time between two looks at the platform's instance list.
+        Interval between reads of the platform's instance list.
     orphan_interval_s : float
-        Time between two rounds of handing out requests whose holder is fenced.
+        Interval between assignments of open requests whose holder was fenced or closed.
     tail_records : int
-        Records kept in memory for other keepers.
+        Number of newest records kept in memory for other keepers.
     """
 
     stream: str = "journal"
--- a/railtide/keeper/outbox.py
+++ b/railtide/keeper/outbox.py
@@ -1,8 +1,9 @@
-"""What a keeper has to tell one router: of each thing only the newest.
+"""The queue of messages from a keeper to one router, with superseded messages removed.
 
-A router behind a narrow link is told less often, and never less: a message that a newer one of the
-same thing replaces needs no more be sent. So what waits has the size of what is in force, whatever
-changed meanwhile, and a router that is told all at its subscription loses no link for that.
+A message that is superseded by a newer one about the same object is no longer sent: a router behind
+a narrow link skips intermediate states but always receives the current one. So the queue is bounded
+by the size of the current state and `MAX_EVENTS`, however often the state changed, and sending the
+whole state at subscription never overflows it.
 """
 
 from collections import OrderedDict
@@ -21,12 +22,12 @@
 
 __all__ = ["Outbox"]
 
-MOST_EVENTS = 50_000
-"""Messages that nothing replaces; beyond it the reader is taken to be gone."""
+MAX_EVENTS = 50_000
+"""Limit of queued messages that can't be superseded; above it the reader is considered lost."""
 
 
 class Outbox:
-    """Messages for one link, in order.
+    """Ordered queue of messages for one link.
 
     Examples
     --------
@@ -38,42 +39,42 @@
     """
 
     def __init__(self) -> None:
-        self._message_by_thing: OrderedDict[Hashable, Message] = OrderedDict()
-        self._events = 0
-        self._numbers = count()
-        self._grown = trio.Event()
+        self._message_by_key: OrderedDict[Hashable, Message] = OrderedDict()
+        self._event_count = 0
+        self._event_numbers = count()
+        self._message_added = trio.Event()
 
     def __len__(self) -> int:
-        return len(self._message_by_thing)
+        return len(self._message_by_key)
 
     def put(self, message: Message) -> bool:
-        """Take a message; return False if too many wait that nothing replaces."""
-        thing = _thing(message)
-        if thing is None:
-            if self._events >= MOST_EVENTS:
+        """Queue a message; return False if too many messages wait that can't be superseded."""
+        key = _replacement_key(message)
+        if key is None:
+            if self._event_count >= MAX_EVENTS:
                 return False
-            self._events += 1
-            thing = next(self._numbers)
-        self._message_by_thing[thing] = message
+            self._event_count += 1
+            key = next(self._event_numbers)
+        self._message_by_key[key] = message
         if isinstance(message, LogStatusMessage):
-            # It says how far all that goes before it reaches, so it stays after that.
-            self._message_by_thing.move_to_end(thing)
-        self._grown.set()
+            # The status covers all messages queued before it, so it must stay after them.
+            self._message_by_key.move_to_end(key)
+        self._message_added.set()
         return True
 
     async def take(self) -> Message:
-        """Wait for the oldest message and take it out."""
-        while not self._message_by_thing:
-            self._grown = trio.Event()
-            await self._grown.wait()
-        _, message = self._message_by_thing.popitem(last=False)
-        if _thing(message) is None:
-            self._events -= 1
+        """Wait for the oldest message and remove it."""
+        while not self._message_by_key:
+            self._message_added = trio.Event()
+            await self._message_added.wait()
+        _, message = self._message_by_key.popitem(last=False)
+        if _replacement_key(message) is None:
+            self._event_count -= 1
         return message
 
 
-def _thing(message: Message) -> Hashable:
-    """Return what a message is the newest word on, None for an event."""
+def _replacement_key(message: Message) -> Hashable:
+    """Return the key by which newer messages supersede this one, None for an event."""
     match message:
         case ObjectMessage():
             return ObjectMessage, message.kind, message.name
--- a/railtide/keeper/program.py
+++ b/railtide/keeper/program.py
@@ -25,7 +25,7 @@
 
 
 class KeeperSettings(BaseModel):
-    """Checked settings of a keeper."""
+    """Validated settings of a keeper."""
 
     instance: str = Field(min_length=1, max_length=64)
     failure_domain: str = Field(min_length=1, max_length=64)
@@ -55,9 +55,9 @@
     list_interval_s: float = 1.0,
     log_level: str = "INFO",
 ) -> None:
-    """Follow the platform's log for the routers of this instance, and append for them.
+    """Read the platform's log for the routers of this instance and append to it for them.
 
-    Every flag can be given in the environment as RAILTIDE_KEEPER_<FLAG>; the flag goes first.
+    Every flag can be given in the environment as RAILTIDE_KEEPER_<FLAG>; the flag takes precedence.
 
     :param instance: name of this instance in the platform's list
     :param failure_domain: failure domain of this instance
@@ -66,12 +66,12 @@
     :param bind: host:port for routers and other keepers; port 0 lets the system choose
     :param http_bind: host:port for health, metrics and status
     :param stream: stream of the log that holds the journal
-    :param lease_s: silence after which a holder is fenced, seconds
-    :param lost_link_s: time without a link after which a router beside this keeper is fenced
-    :param append_interval_s: least time between two group appends, seconds
-    :param checkpoint_every: records of the log between two checkpoints
-    :param list_interval_s: time between two looks at the instance list, seconds
-    :param log_level: least level of log lines
+    :param lease_s: time without an entry after which a holder is fenced, seconds
+    :param lost_link_s: time without a link after which a router of this keeper is fenced, seconds
+    :param append_interval_s: minimum time between two batch appends, seconds
+    :param checkpoint_every: number of log records between two checkpoints
+    :param list_interval_s: interval between reads of the instance list, seconds
+    :param log_level: minimum level of log lines
     """
     settings = checked(
         KeeperSettings,
@@ -111,21 +111,21 @@
         options,
         new_rng(),
     )
-    made = parts.keeper
-    observe("folded_offset", "1", lambda: float(made.state.offset))
-    observe("pending_entries", "1", lambda: float(made.appender.pending()))
-    observe("log_reachable", "1", lambda: float(made.follower.reachable))
-    observe("appends", "1", lambda: float(made.appender.appends))
-    observe("bytes_appended", "By", lambda: float(made.appender.bytes_appended))
+    node = parts.keeper
+    observe("folded_offset", "1", lambda: float(node.state.offset))
+    observe("pending_entries", "1", lambda: float(node.appender.pending()))
+    observe("log_reachable", "1", lambda: float(node.follower.reachable))
+    observe("appends", "1", lambda: float(node.appender.appends))
+    observe("bytes_appended", "By", lambda: float(node.appender.bytes_appended))
     listener = trio.SocketListener(trio.socket.from_stdlib_socket(link.sock))
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(made.run)
-        nursery.start_soon(serve_tcp, made, parts.direct, [listener])
-        nursery.start_soon(partial(serve_http, make_app(made, spans), http))
+        nursery.start_soon(node.run)
+        nursery.start_soon(serve_tcp, node, parts.direct, [listener])
+        nursery.start_soon(partial(serve_http, make_app(node, spans), http))
         relax_gc()
         announce({"link": link.address, "http": http.address})
         await wait_for_stop()
-        await made.leave()
+        await node.leave()
         nursery.cancel_scope.cancel()
 
 
--- a/railtide/keeper/relay.py
+++ b/railtide/keeper/relay.py
@@ -1,4 +1,4 @@
-"""Ways to the log for a keeper that may be cut off from it: its own, and through another keeper."""
+"""Access to the log for a keeper: directly, or through another keeper when cut off from it."""
 
 from collections.abc import Awaitable, Callable
 from itertools import count
@@ -18,13 +18,15 @@
 Result = TypeVar("Result")
 
 PROBE_S = 1.0
-REPLY_S = 3.0
-"""Longest silence of another keeper that is asked, beyond what a read waits for: it has to fetch up
-to 256 KB itself, 0.6 s of a link of 5 Mbit/s in base64, before the first byte."""
+"""Seconds after which a failed log is tried again; also the limit for connecting to another keeper
+and for the time that a read through it waits."""
+REPLY_TIMEOUT_S = 3.0
+"""Maximum time without a byte from another keeper, in addition to a read's own wait: before its
+first byte it may have to fetch up to 256 KB itself, 0.6 s on a link of 5 Mbit/s in base64."""
 
 
 class DirectLog(LogClient):
-    """The keeper's own way to the log; remembers whether it works.
+    """The keeper's direct access to the log; records whether the last call succeeded.
 
     Parameters
     ----------
@@ -41,8 +43,8 @@
         return self._failed_at is None
 
     @property
-    def worth_a_try(self) -> bool:
-        """True if reachable, or if the last failure is some time ago."""
+    def should_try(self) -> bool:
+        """True if reachable, or if the last failure was at least `PROBE_S` ago."""
         return self._failed_at is None or trio.current_time() - self._failed_at >= PROBE_S
 
     async def append(self, stream: str, data: bytes) -> int:
@@ -67,9 +69,9 @@
 
 
 class PeerLog(LogClient):
-    """The log as another keeper reaches it, over one link.
+    """The log accessed through another keeper, over one link.
 
-    Records come from that keeper's own tail, so that a cut-off keeper costs the log nothing.
+    Records of the journal come from that keeper's own tail and cause no load on the log.
     """
 
     def __init__(self, link: Link) -> None:
@@ -80,7 +82,7 @@
     async def append(self, stream: str, data: bytes) -> int:
         """Append; see `LogClient.append`."""
         call = next(self._calls)
-        reply = await self._ask(AppendMessage(call, stream, data), call, 0)
+        reply = await self._request(AppendMessage(call, stream, data), call, 0)
         if not isinstance(reply, AppendReply) or reply.failed:
             raise LogUnavailable("the other keeper could not append")
         return reply.offset
@@ -88,26 +90,26 @@
     async def read(self, stream: str, start: int, limit: int, wait_s: float) -> Page:
         """Read; see `LogClient.read`."""
         call = next(self._calls)
-        reply = await self._ask(ReadMessage(call, stream, start, limit, wait_s), call, wait_s)
+        reply = await self._request(ReadMessage(call, stream, start, limit, wait_s), call, wait_s)
         if not isinstance(reply, ReadReply) or reply.failed:
             raise LogUnavailable("the other keeper can't reach the log either")
         if reply.first >= 0:
             raise RecordsExpired(reply.first)
         return Page(reply.records, reply.head)
 
-    async def _ask(
+    async def _request(
         self, message: AppendMessage | ReadMessage, call: int, wait_s: float
     ) -> AppendReply | ReadReply:
         try:
             async with self._lock:
-                await self._link.send(message, REPLY_S)
-                return await self._reply_to(call, REPLY_S + wait_s)
+                await self._link.send(message, REPLY_TIMEOUT_S)
+                return await self._receive_reply(call, REPLY_TIMEOUT_S + wait_s)
         except LinkLost as err:
             raise LogUnavailable(f"the other keeper did not answer: {err}") from err
 
-    async def _reply_to(self, call: int, silence_s: float) -> AppendReply | ReadReply:
+    async def _receive_reply(self, call: int, idle_timeout_s: float) -> AppendReply | ReadReply:
         while True:
-            reply = await self._link.receive(silence_s)
+            reply = await self._link.receive(idle_timeout_s)
             if isinstance(reply, AppendReply | ReadReply) and reply.call == call:
                 return reply
 
@@ -117,15 +119,15 @@
 
 
 class RelayedLog(LogClient):
-    """The direct way while it works, else through another keeper.
+    """Direct access to the log with fallback to another keeper.
 
     Parameters
     ----------
     direct : DirectLog
     peers : callable
-        Returns how to connect to the other keepers known now.
+        Returns functions that connect to the other keepers known now.
     rng : random.Random
-        Chooses among them.
+        Shuffles them.
     """
 
     def __init__(self, direct: DirectLog, peers: Callable[[], list[Connect]], rng: Random) -> None:
@@ -136,7 +138,7 @@
 
     async def append(self, stream: str, data: bytes) -> int:
         """Append; see `LogClient.append`."""
-        return await self._by_some_way(lambda log: log.append(stream, data))
+        return await self._with_fallback(lambda log: log.append(stream, data))
 
     async def read(self, stream: str, start: int, limit: int, wait_s: float) -> Page:
         """Read; see `LogClient.read`."""
@@ -145,17 +147,17 @@
             wait = wait_s if log is self._direct else min(wait_s, PROBE_S)
             return log.read(stream, start, limit, wait)
 
-        return await self._by_some_way(read)
+        return await self._with_fallback(read)
 
-    async def _by_some_way(self, use: Callable[[LogClient], Awaitable[Result]]) -> Result:
-        if self._direct.worth_a_try:
+    async def _with_fallback(self, operation: Callable[[LogClient], Awaitable[Result]]) -> Result:
+        if self._direct.should_try:
             try:
-                return await use(self._direct)
+                return await operation(self._direct)
             except LogUnavailable:
                 pass
         peer = await self._connect()
         try:
-            return await use(peer)
+            return await operation(peer)
         finally:
             await self._close(peer)
 
--- a/railtide/keeper/server.py
+++ b/railtide/keeper/server.py
@@ -1,4 +1,4 @@
-"""The keeper's side of its links: routers beside it, and other keepers that ask for help."""
+"""The keeper's side of its links: to routers of its instance and to keepers without the log."""
 
 from collections.abc import Iterable
 from itertools import islice
@@ -25,14 +25,14 @@
 
 __all__ = ["serve_link", "serve_tcp"]
 
-MOST_WAIT_S = 5.0
+MAX_WAIT_S = 5.0
 REPLY_BYTES = 262_144
-"""Bytes of records from which on a reply holds no more: 0.4 s of a link of 5 Mbit/s. The records of
-a reply that came whole are kept by who asked; of one that broke off none are."""
+"""Maximum bytes of records in a reply of more than one record: 0.4 s on a link of 5 Mbit/s. The
+other keeper keeps the records of a complete reply, but none of an interrupted one."""
 
 
 class _LinkSubscriber(Subscriber):
-    """Queues messages for one link; a reader that falls far behind loses the link."""
+    """Queues messages for one link; closes the link when the queue overflows."""
 
     def __init__(self, outbox: Outbox, scope: trio.CancelScope) -> None:
         self._outbox = outbox
@@ -50,7 +50,7 @@
     ----------
     keeper : Keeper
     direct : DirectLog
-        The keeper's own way to the log, used for other keepers; never another keeper's.
+        The keeper's direct access to the log: calls of other keepers are never relayed further.
     link : Link
     """
     outbox = Outbox()
@@ -108,27 +108,27 @@
 
 
 async def _read_tail(keeper: Keeper, message: ReadMessage) -> ReadReply:
-    with trio.move_on_after(min(message.wait_s, MOST_WAIT_S)):
+    with trio.move_on_after(min(message.wait_s, MAX_WAIT_S)):
         await keeper.follower.wait_for(message.start)
     tail = keeper.follower.tail
     first = tail[0].offset if tail else keeper.state.offset + 1
     if message.start < first:
         return ReadReply(message.call, first=first)
     begin = message.start - first
-    records = _first(islice(tail, begin, begin + message.limit))
+    records = _fit_reply(islice(tail, begin, begin + message.limit))
     return ReadReply(message.call, keeper.state.offset + 1, records)
 
 
-def _first(records: Iterable[LogRecord]) -> list[LogRecord]:
-    """Return as many records, one at least, as a reply holds."""
-    taken: list[LogRecord] = []
+def _fit_reply(records: Iterable[LogRecord]) -> list[LogRecord]:
+    """Return the leading records that fit one reply, at least one."""
+    selected: list[LogRecord] = []
     size = 0
     for record in records:
         size += len(record.data)
-        if taken and size > REPLY_BYTES:
+        if selected and size > REPLY_BYTES:
             break
-        taken.append(record)
-    return taken
+        selected.append(record)
+    return selected
 
 
 async def _read_log(direct: DirectLog, message: ReadMessage) -> ReadReply:
@@ -136,7 +136,7 @@
         page = await direct.read(message.stream, message.start, message.limit, 0)
     except JournalError:
         return ReadReply(message.call, failed=True)
-    return ReadReply(message.call, page.head, _first(page.records))
+    return ReadReply(message.call, page.head, _fit_reply(page.records))
 
 
 async def _answer_append(direct: DirectLog, subscriber: Subscriber, message: AppendMessage) -> None:
--- a/railtide/keeper/tests/test_appender.py
+++ b/railtide/keeper/tests/test_appender.py
@@ -20,7 +20,7 @@
 
 
 class FlakyLog(LogClient):
-    """A log in memory whose next appends go wrong as listed."""
+    """An in-memory log whose next appends have the given faults."""
 
     def __init__(self, *faults: str) -> None:
         self.store = LogStore(lambda: 1_000)
@@ -79,7 +79,7 @@
 
 
 class TestAppender:
-    async def test_each_entry_is_folded_once_whatever_the_append_does(self, autojump_clock) -> None:
+    async def test_each_entry_is_folded_once_despite_append_faults(self, autojump_clock) -> None:
         for fault in ("", "never-arrived", "answer-lost", "arrived-twice"):
             node = Node(FlakyLog(fault))
             await node.append_all(*entries())
@@ -93,7 +93,7 @@
         assert trio.current_time() - began < 1
         assert node.appender.answers_lost == 1
 
-    async def test_two_keepers_may_append_the_same(self, autojump_clock) -> None:
+    async def test_two_keepers_may_append_the_same_entries(self, autojump_clock) -> None:
         log = FlakyLog()
         nodes = [Node(log), Node(log)]
         async with trio.open_nursery() as nursery:
@@ -101,14 +101,14 @@
                 nursery.start_soon(node.append_all, *entries())
         assert nodes[0].follower.state.by_holder["h"].last_seq == 2
 
-    async def test_entries_of_an_unknown_holder_are_handed_back(self, autojump_clock) -> None:
+    async def test_entries_of_an_unknown_holder_are_refused(self, autojump_clock) -> None:
         node = Node(FlakyLog())
-        lonely = make_entry("unknown", 2, 0, Heartbeat())
-        await node.append_all(*entries(), lonely)
-        assert node.refused == [lonely]
+        unknown = make_entry("unknown", 2, 0, Heartbeat())
+        await node.append_all(*entries(), unknown)
+        assert node.refused == [unknown]
 
-    async def test_large_entries_go_in_several_appends(self, autojump_clock) -> None:
-        """One for all took longer than a link carries it in time, and so did each repeat of it."""
+    async def test_large_entries_are_split_into_several_appends(self, autojump_clock) -> None:
+        """A single append of all exceeds its timeout on a narrow link, and so does each retry."""
         log = NarrowLog()
         node = Node(log)
         answer = Answer(200, "application/json", bytes(65_536))
@@ -120,7 +120,7 @@
 
 
 class NarrowLog(FlakyLog):
-    """A log behind a link of 5 Mbit/s whose append is given up after 5 s."""
+    """A log behind a link of 5 Mbit/s, whose appends time out after 5 s."""
 
     async def append(self, stream: str, data: bytes) -> int:
         took_s = len(data) / NARROW_BYTES_S
@@ -131,7 +131,7 @@
 
 
 class LongLog(NarrowLog):
-    """A log of other keepers' records, 26 s to read over the link, and one that grows meanwhile."""
+    """A log full of other keepers' records: reading it takes 26 s over the link."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -144,9 +144,9 @@
         return page
 
 
-class TestLateFold:
-    async def test_what_is_in_the_log_is_not_sent_again(self, autojump_clock) -> None:
-        """Each 5 s it was, as long as the reading took, and made the log longer for all."""
+class TestLaggingFold:
+    async def test_appended_entries_are_not_sent_again(self, autojump_clock) -> None:
+        """Guards against appending the same entries every 5 s while the log is being read."""
         node = Node(LongLog())
         began = trio.current_time()
         await node.append_all(*entries())
@@ -157,24 +157,24 @@
     async def test_later_entries_do_not_wait_for_the_fold(self, autojump_clock) -> None:
         log = LongLog()
         node = Node(log)
-        opening, beat = entries()
+        opening, heartbeat = entries()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(node.append_all, opening)
             await trio.sleep(1)
-            node.appender.add(beat)
+            node.appender.add(heartbeat)
             await trio.sleep(6)
             assert log.store.appends == 2_002
         assert node.follower.state.by_holder["h"].last_seq == 2
 
-    async def test_entry_that_the_fold_passed_over_is_sent_again(self, autojump_clock) -> None:
-        """An entry whose predecessor is not there yet is left out by the fold."""
+    async def test_entry_skipped_by_the_fold_is_sent_again(self, autojump_clock) -> None:
+        """The fold skips an entry whose predecessor has not arrived yet."""
         node = Node(FlakyLog())
-        opening, beat = entries()
+        opening, heartbeat = entries()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(node.append_all, opening, make_entry("h", 3, 0, Heartbeat()))
             await trio.sleep(1)
             assert node.follower.state.by_holder["h"].last_seq == 1
-            node.appender.add(beat)
+            node.appender.add(heartbeat)
             with trio.move_on_after(30):
                 while node.appender.pending():
                     await trio.sleep(0.1)
--- a/railtide/keeper/tests/test_narrow_links.py
+++ b/railtide/keeper/tests/test_narrow_links.py
@@ -1,4 +1,4 @@
-"""Tests of railtide.keeper over narrow links: what takes longer than a silent peer is given."""
+"""Tests of railtide.keeper over narrow links, where transfers outlast the idle timeouts."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -30,7 +30,7 @@
 
 
 class NarrowLog(LogClient):
-    """A log in memory behind a link of 5 Mbit/s."""
+    """An in-memory log behind a link of 5 Mbit/s."""
 
     def __init__(self) -> None:
         self.store = LogStore(lambda: 1)
@@ -57,7 +57,7 @@
 
 @asynccontextmanager
 async def peer_log(log: LogClient, keeper: Keeper) -> AsyncIterator[PeerLog]:
-    """Yield the log as another keeper reaches it, over a link of 5 Mbit/s."""
+    """Yield the log accessed through a keeper over a link of 5 Mbit/s."""
     async with trio.open_nursery() as nursery:
         near, far = narrow_stream_pair(nursery)
         nursery.start_soon(serve_link, keeper, DirectLog(log), TcpLink(far))
@@ -66,8 +66,8 @@
 
 
 class TestPeerLog:
-    async def test_long_tail_is_read_to_its_end(self, autojump_clock) -> None:
-        """Four megabytes take 6.7 s of the link; each try was given up after 3 s."""
+    async def test_long_tail_is_read_completely(self, autojump_clock) -> None:
+        """Four megabytes take 6.7 s on the link, more than a timeout of 3 s for a whole reply."""
         log = NarrowLog()
         keeper = keeper_of(log)
         keeper.state.offset = RECORDS - 1
@@ -80,8 +80,8 @@
                 start = page.records[-1].offset + 1
         assert start == RECORDS
 
-    async def test_what_came_before_a_break_is_kept(self, autojump_clock) -> None:
-        """Links that last a second carry a tail of 6.7 s, since each reply is whole before."""
+    async def test_replies_before_a_lost_link_are_kept(self, autojump_clock) -> None:
+        """Links that last 1 s carry a tail of 6.7 s, since each reply is complete in less."""
         log = NarrowLog()
         keeper = keeper_of(log)
         keeper.state.offset = RECORDS - 1
@@ -97,7 +97,7 @@
                         start = page.records[-1].offset + 1
         assert start == RECORDS
 
-    async def test_one_record_above_all_limits_of_time_is_read(self, autojump_clock) -> None:
+    async def test_record_larger_than_a_reply_is_read(self, autojump_clock) -> None:
         log = NarrowLog()
         keeper = keeper_of(log)
         keeper.state.offset = 0
@@ -107,7 +107,7 @@
         assert len(page.records[0].data) == 6 * NARROW_BYTES_S
 
     async def test_large_checkpoint_is_read_through_a_peer(self, autojump_clock) -> None:
-        """Four megabytes go over the peer's own link first, and then over the link to it."""
+        """Four megabytes cross the peer's own link to the log first, then the link to the peer."""
         log = NarrowLog()
         state = State(offset=7)
         state.by_holder = {
@@ -120,7 +120,7 @@
             found = await latest_checkpoint(peer, STREAM)
         assert found and found.offset == 7
 
-    async def test_silent_peer_is_given_up(self, autojump_clock) -> None:
+    async def test_unresponsive_peer_times_out(self, autojump_clock) -> None:
         async with trio.open_nursery() as nursery:
             near, _ = narrow_stream_pair(nursery)
             began = trio.current_time()
@@ -129,7 +129,7 @@
             assert trio.current_time() - began < 5
             nursery.cancel_scope.cancel()
 
-    async def test_peer_that_takes_nothing_is_given_up(self, autojump_clock) -> None:
+    async def test_peer_that_receives_nothing_times_out(self, autojump_clock) -> None:
         near, _ = trio.testing.lockstep_stream_pair()
         began = trio.current_time()
         with pytest.raises(LogUnavailable), trio.fail_after(60):
@@ -144,8 +144,8 @@
 
 
 class TestSubscription:
-    async def test_more_objects_than_a_queue_holds_reach_a_router(self, autojump_clock) -> None:
-        """A link with more than 50,000 messages to carry was closed, and so was each new one."""
+    async def test_more_objects_than_queued_events_reach_a_router(self, autojump_clock) -> None:
+        """Guards against closing each link that has more than 50,000 messages to carry."""
         keeper = keeper_of(NarrowLog())
         objects = keeper.state.catalog.by_kind_and_name
         objects.update({("account", f"a{n}"): Versioned(b"{}", 1, n) for n in range(60_000)})
@@ -161,8 +161,8 @@
                         names.add(message.name)
             nursery.cancel_scope.cancel()
 
-    async def test_slow_router_is_told_the_newest_only(self, autojump_clock) -> None:
-        """Behind a link of 5 Mbit/s 40 lists of members, 1 MB each, wait; the last one counts."""
+    async def test_slow_router_receives_only_the_newest(self, autojump_clock) -> None:
+        """Of 40 member lists of 1 MB each for a link of 5 Mbit/s, only the newest is of use."""
         keeper = keeper_of(NarrowLog())
         async with trio.open_nursery() as nursery:
             near, far = narrow_stream_pair(nursery)
--- a/railtide/keeper/tests/test_outbox.py
+++ b/railtide/keeper/tests/test_outbox.py
@@ -23,31 +23,31 @@
     return ObjectMessage("account", name, version, b"{}", version)
 
 
-async def taken_of(*messages: Message) -> list[Message]:
-    """Return what is taken out after some messages were put in."""
+async def take_all(*messages: Message) -> list[Message]:
+    """Return the messages that an outbox yields after these were put in."""
     outbox = Outbox()
     assert all([outbox.put(message) for message in messages])
     return [await outbox.take() for _ in range(len(outbox))]
 
 
 class TestOutbox:
-    async def test_newest_of_each_thing_is_told(self) -> None:
+    async def test_newest_message_per_key_is_kept(self) -> None:
         first, second = account("a", 1), account("a", 2)
         other, demand = account("b", 1), DemandMessage("a")
-        assert await taken_of(first, other, second, demand, demand) == [second, other, demand]
-        assert await taken_of(MembersMessage([]), MembersMessage([])) == [MembersMessage([])]
+        assert await take_all(first, other, second, demand, demand) == [second, other, demand]
+        assert await take_all(MembersMessage([]), MembersMessage([])) == [MembersMessage([])]
 
-    async def test_status_stays_behind_what_it_speaks_of(self) -> None:
-        """A router that has its status first takes itself for fresh without the object."""
+    async def test_status_follows_the_messages_it_covers(self) -> None:
+        """A router that received its status first would count as current without the object."""
         messages = status(1), account("a", 2), status(2)
-        assert await taken_of(*messages) == [account("a", 2), status(2)]
+        assert await take_all(*messages) == [account("a", 2), status(2)]
 
-    async def test_each_verdict_is_told(self) -> None:
+    async def test_each_verdict_is_kept(self) -> None:
         verdicts = [VerdictMessage("h", Verdict(seq, "ok", 1)) for seq in (1, 2, 2)]
-        assert await taken_of(*verdicts) == verdicts
+        assert await take_all(*verdicts) == verdicts
 
-    async def test_events_have_a_bound_and_what_is_in_force_has_none(self, monkeypatch) -> None:
-        monkeypatch.setattr(module, "MOST_EVENTS", 2)
+    async def test_events_are_bounded_and_current_state_is_not(self, monkeypatch) -> None:
+        monkeypatch.setattr(module, "MAX_EVENTS", 2)
         outbox = Outbox()
         verdict = VerdictMessage("h", Verdict(1, "ok", 1))
         assert outbox.put(verdict) and outbox.put(verdict) and not outbox.put(verdict)
--- a/railtide/keeper/views.py
+++ b/railtide/keeper/views.py
@@ -1,4 +1,4 @@
-"""What a keeper reads out of the folded state. Pure."""
+"""Pure functions that derive members, ranks and orphaned requests from the folded state."""
 
 from collections.abc import Collection, Mapping
 
@@ -8,7 +8,7 @@
 from railtide.membership.instances import Instance, InstanceState
 from railtide.wire.messages import OrphanMessage
 
-__all__ = ["is_alive", "members_of", "open_routers", "orphans_by_router", "rank_of"]
+__all__ = ["is_alive", "keeper_rank", "members_of", "open_routers", "orphans_by_router"]
 
 ALIVE = (HolderStatus.OPEN, HolderStatus.LEAVING)
 
@@ -19,8 +19,8 @@
     return known is not None and known.status in ALIVE
 
 
-def rank_of(by_holder: Mapping[str, HolderState], holder: str) -> int:
-    """Return a keeper's place among the live ones, 0 for one that is not among them."""
+def keeper_rank(by_holder: Mapping[str, HolderState], holder: str) -> int:
+    """Return a keeper's index among the open ones sorted by name, 0 if it is not among them."""
     names = sorted(
         name
         for name, known in by_holder.items()
@@ -30,7 +30,7 @@
 
 
 def open_routers(by_holder: Mapping[str, HolderState]) -> list[str]:
-    """Return the holders of routers that are neither leaving nor ended."""
+    """Return the holders of routers that are open: not leaving, fenced or closed."""
     return [
         name
         for name, holder in by_holder.items()
@@ -39,9 +39,9 @@
 
 
 def orphans_by_router(state: State, connected: Collection[str]) -> dict[str, list[OrphanMessage]]:
-    """Return the open requests of ended owners, by the connected router that is to settle each.
+    """Return the open requests of fenced or closed holders, by the router that is to settle each.
 
-    Every keeper chooses the same router for a request, and hands it out only if it is connected.
+    All keepers choose the same router for a request; only the one it is connected to assigns it.
     """
     routers = open_routers(state.by_holder)
     orphans: dict[str, list[OrphanMessage]] = {}
@@ -67,9 +67,9 @@
 def members_of(
     by_holder: Mapping[str, HolderState], listed: Collection[Instance]
 ) -> list[Instance]:
-    """Return all instances: routers and keepers as the log has them, upstreams as listed.
+    """Return all instances: routers and keepers from the log, others from the platform's list.
 
-    A router that the platform's list shows as leaving is leaving, whatever it says itself.
+    A router that the platform's list shows as leaving is leaving, whatever its state in the log.
     """
     leaving = {i.name for i in listed if i.state is InstanceState.LEAVING}
     members = [
@@ -81,12 +81,12 @@
 
 
 def _as_instance(name: str, holder: HolderState, listed_leaving: bool) -> Instance:
-    gone = listed_leaving or holder.status == HolderStatus.LEAVING
+    leaving = listed_leaving or holder.status == HolderStatus.LEAVING
     return Instance(
         holder.instance,
         name,
         holder.address,
         holder.failure_domain,
         holder.role,
-        state=InstanceState.LEAVING if gone else InstanceState.LIVE,
+        state=InstanceState.LEAVING if leaving else InstanceState.LIVE,
     )
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -1195,22 +1195,22 @@
     Mutant(
         "reply-has-a-limit-on-the-whole",
         "keeper/relay.py",
-        "                return await self._reply_to(call, REPLY_S + wait_s)",
-        "                with trio.fail_after(REPLY_S + wait_s):\n"
-        "                    return await self._reply_to(call, REPLY_S + wait_s)",
+        "                return await self._receive_reply(call, REPLY_TIMEOUT_S + wait_s)",
+        "                with trio.fail_after(REPLY_TIMEOUT_S + wait_s):\n"
+        "                    return await self._receive_reply(call, REPLY_TIMEOUT_S + wait_s)",
         (NARROW_LINKS,),
     ),
     Mutant(
         "silent-peer-is-waited-for",
         "keeper/relay.py",
-        "self._reply_to(call, REPLY_S + wait_s)",
-        'self._reply_to(call, float("inf"))',
+        "self._receive_reply(call, REPLY_TIMEOUT_S + wait_s)",
+        'self._receive_reply(call, float("inf"))',
         (NARROW_LINKS,),
     ),
     Mutant(
         "peer-that-takes-nothing-is-waited-for",
         "keeper/relay.py",
-        "self._link.send(message, REPLY_S)",
+        "self._link.send(message, REPLY_TIMEOUT_S)",
         "self._link.send(message)",
         (NARROW_LINKS,),
     ),
@@ -1241,14 +1241,14 @@
     Mutant(
         "reply-of-any-size",
         "keeper/server.py",
-        "        if taken and size > REPLY_BYTES:\n            break\n",
+        "        if selected and size > REPLY_BYTES:\n            break\n",
         "",
         (NARROW_LINKS,),
     ),
     Mutant(
         "record-above-a-reply-is-never-sent",
         "keeper/server.py",
-        "if taken and size > REPLY_BYTES:",
+        "if selected and size > REPLY_BYTES:",
         "if size > REPLY_BYTES:",
         (NARROW_LINKS,),
     ),
@@ -1262,8 +1262,8 @@
     Mutant(
         "parts-that-came-do-not-shorten-the-wait",
         "keeper/follower.py",
-        "            if self._checkpoint.records_read > known:\n"
-        "                self._backoff.reset()  # the log answers, now and then\n",
+        "            if self._checkpoint.records_read > read_before:\n"
+        "                self._backoff.reset()  # the log answers at times\n",
         "",
         (CHECKPOINT,),
     ),
@@ -1291,21 +1291,21 @@
     Mutant(
         "status-goes-before-what-it-speaks-of",
         "keeper/outbox.py",
-        "            self._message_by_thing.move_to_end(thing)\n",
+        "            self._message_by_key.move_to_end(key)\n",
         "            pass\n",
         (OUTBOX,),
     ),
     Mutant(
         "events-without-a-bound",
         "keeper/outbox.py",
-        "            if self._events >= MOST_EVENTS:\n                return False\n",
+        "            if self._event_count >= MAX_EVENTS:\n                return False\n",
         "",
         (OUTBOX,),
     ),
     Mutant(
         "sent-events-count-on",
         "keeper/outbox.py",
-        "            self._events -= 1\n",
+        "            self._event_count -= 1\n",
         "            pass\n",
         (OUTBOX,),
     ),
