--- a/railtide/router/__init__.py
+++ b/railtide/router/__init__.py
@@ -1,1 +1,1 @@
-"""The router: takes callers' requests and answers them within their budgets."""
+"""The router: accepts callers' requests and answers them within their prepaid budgets."""
--- a/railtide/router/app.py
+++ b/railtide/router/app.py
@@ -1,6 +1,6 @@
-"""The router's HTTP side: a plain ASGI path for calls, quart for everything else.
+"""The router's HTTP application: plain ASGI for calls, Quart for everything else.
 
-Calls and their streams go through ASGI directly, so that no response wrapper stands between the
+Calls and their streams use ASGI directly, which avoids the cost of a response wrapper between the
 relay and the server (figures in docs/MEASUREMENTS.md).
 """
 
@@ -35,7 +35,7 @@
 
 
 class _AsgiSink(AnswerSink):
-    """Writes an answer as ASGI messages."""
+    """Sends an answer as ASGI messages."""
 
     def __init__(self, send: ASGISendCallable) -> None:
         self._send = send
@@ -65,7 +65,7 @@
     ----------
     router : Router
     pages : QuartTrio
-        Serves what is not a call.
+        Serves everything that is not a call.
     """
 
     def __init__(self, router: Router, pages: QuartTrio) -> None:
@@ -105,9 +105,9 @@
         while True:
             message = await receive()
             if message["type"] != "http.request":
-                raise InvalidRequest("the caller went away before its request was whole")
+                raise InvalidRequest("the caller disconnected before its request was complete")
             body += message.get("body", b"")
-            if len(body) > self._router.options.most_body_bytes:
+            if len(body) > self._router.options.max_body_bytes:
                 raise InvalidRequest("the request body is too large")
             if not message.get("more_body", False):
                 return bytes(body)
@@ -115,15 +115,15 @@
     def _call(self, scope: Scope, headers: dict[str, str], body: bytes) -> Call:
         self._router.check_ready()
         query = scope["query_string"].decode("latin-1")
-        asked = HttpRequest(scope["method"], scope["path"], query, headers, body)
-        return call_of(asked, self._router.directory, self._router.options)
+        http_request = HttpRequest(scope["method"], scope["path"], query, headers, body)
+        return call_of(http_request, self._router.directory, self._router.options)
 
     async def _run(self, call: Call, sink: _AsgiSink, receive: ASGIReceiveCallable) -> None:
-        """Serve the call; a caller without a key that goes away ends it."""
+        """Serve the call; a disconnect cancels it if it is repeatable and has no key."""
         failure: RailtideError | None = None
         async with trio.open_nursery() as nursery:
             if not call.key and call.repeatable:
-                nursery.start_soon(_cancel_when_gone, receive, nursery.cancel_scope)
+                nursery.start_soon(_cancel_on_disconnect, receive, nursery.cancel_scope)
             try:
                 await self._router.serve(call, sink)
             except RailtideError as err:
@@ -155,7 +155,7 @@
         await send({"type": "http.response.body", "body": problem_to_bytes(problem)})
 
     def _other_addresses(self, headers: dict[str, str]) -> list[str]:
-        """Return where else the caller may go, while this router is leaving."""
+        """Return addresses of live routers for the caller while this router drains, else none."""
         if not self._router.draining:
             return []
         try:
@@ -165,14 +165,14 @@
             return []
 
 
-async def _cancel_when_gone(receive: ASGIReceiveCallable, scope: trio.CancelScope) -> None:
+async def _cancel_on_disconnect(receive: ASGIReceiveCallable, scope: trio.CancelScope) -> None:
     while (await receive())["type"] != "http.disconnect":
         pass
     scope.cancel()
 
 
 def make_app(router: Router, spans: SpanStore | None = None) -> RouterApp:
-    """Return the application of a router."""
+    """Return the HTTP application of a router."""
     pages = QuartTrio("railtide.router")
 
     @pages.errorhandler(RailtideError)
--- a/railtide/router/errors.py
+++ b/railtide/router/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the router itself. Each is raised before anything ran."""
+"""Errors of the router itself, each raised before the request has run anywhere."""
 
 from railtide.errors import RailtideError, Run
 
--- a/railtide/router/problems.py
+++ b/railtide/router/problems.py
@@ -1,4 +1,4 @@
-"""Errors as callers see them: problem details with a stable code and whether the request ran.
+"""Error responses to callers: problem details with a stable code and whether the request ran.
 
 References
 ----------
@@ -18,7 +18,7 @@
 
 
 class Problem(msgspec.Struct, frozen=True, omit_defaults=True):
-    """The body of an error answer; `run` is not-run only where that is certain."""
+    """The body of an error response; `run` is not-run only if the request certainly did not run."""
 
     type: str
     title: str
@@ -31,7 +31,7 @@
 
 
 def problem_of(err: RailtideError, addresses: list[str] | None = None) -> Problem:
-    """Return the problem that an error is told as."""
+    """Return the problem details of an error."""
     return Problem(
         type=TYPE_PREFIX + err.code,
         title=err.code.replace("-", " "),
@@ -45,7 +45,7 @@
 
 
 def problem_headers(problem: Problem) -> list[tuple[bytes, bytes]]:
-    """Return the headers of an error answer.
+    """Return the headers of an error response.
 
     Examples
     --------
@@ -59,5 +59,5 @@
 
 
 def problem_to_bytes(problem: Problem) -> bytes:
-    """Return the JSON body."""
+    """Return a problem as JSON."""
     return msgspec.json.encode(problem)
--- a/railtide/router/program.py
+++ b/railtide/router/program.py
@@ -23,11 +23,11 @@
 __all__ = ["RouterSettings", "main", "router"]
 
 PREFIX = "RAILTIDE_ROUTER"
-GRACEFUL_S = 5.0
+SHUTDOWN_TIMEOUT_S = 5.0
 
 
 class RouterSettings(BaseModel):
-    """Checked settings of a router."""
+    """Validated settings of a router."""
 
     instance: str = Field(min_length=1, max_length=64)
     failure_domain: str = Field(min_length=1, max_length=64)
@@ -55,24 +55,27 @@
     trace_ratio: float = 0.01,
     log_level: str = "INFO",
 ) -> None:
-    """Take callers' requests and answer them within their prepaid budgets.
+    """Accept callers' requests and answer them within their prepaid budgets.
 
-    Every flag can be given in the environment as RAILTIDE_ROUTER_<FLAG>; the flag goes first.
+    Every flag can be given in the environment as RAILTIDE_ROUTER_<FLAG>; the flag takes precedence.
     SIGTERM begins a graceful shutdown.
 
     :param instance: name of this instance in the platform's list
     :param failure_domain: failure domain of this instance
     :param keepers: host:port of keepers, comma separated; the one on this instance first
     :param bind: host:port to listen on; port 0 lets the system choose
-    :param heartbeat_s: longest silence in the log, seconds; below a third of the keepers' lease
-    :param address_ttl_s: how long callers may keep an address answer, seconds
-    :param drain_s: longest wait for open requests at a shutdown, seconds
-    :param load_interval_s: time between two looks at the upstreams' load, seconds
-    :param commit_wait_s: longest hold of output for the log, seconds; 0 holds nothing
-    :param dispatch_window_s: age of the last proof of not being fenced beyond which a request that
-        is durable in the log is not sent, seconds; above the heartbeat, below the keepers' lease
-    :param trace_ratio: share of requests traced when the caller does not decide, 0 to 1
-    :param log_level: least level of log lines
+    :param heartbeat_s: maximum time between two entries in the log, seconds; below a third of the
+        keepers' lease
+    :param address_ttl_s: how long callers may cache the router addresses, seconds
+    :param drain_s: maximum wait for open requests at a shutdown, seconds
+    :param load_interval_s: interval between reads of the upstreams' load, seconds
+    :param commit_wait_s: maximum time that output is held back until the log has committed what it
+        depends on, seconds; 0 holds nothing back
+    :param dispatch_window_s: a request that is durable in the log is sent only if the log confirmed
+        within this time that this router is not fenced, seconds; above the heartbeat, below the
+        keepers' lease
+    :param trace_ratio: fraction of requests traced when the caller does not decide, 0 to 1
+    :param log_level: minimum level of log lines
     """
     settings = checked(
         RouterSettings,
@@ -86,33 +89,33 @@
         dispatch_window_s=dispatch_window_s,
         trace_ratio=trace_ratio,
     )
-    ends = [endpoint(text.strip()) for text in keepers.split(",")]
+    keeper_addresses = [endpoint(text.strip()) for text in keepers.split(",")]
     host, port = endpoint(bind)
     set_up_logs(f"router/{instance}", log_level)
-    trio.run(_run, settings, ends, bind_socket(host, port))
+    trio.run(_run, settings, keeper_addresses, bind_socket(host, port))
 
 
 async def _run(settings: RouterSettings, keepers: list[tuple[str, int]], bind: Bind) -> None:
     service = f"railtide-router/{settings.instance}"
     set_up_meters(service)
     spans = set_up_spans(service, settings.trace_ratio)
-    made = _make_router(settings, keepers, bind)
-    observe("open_calls", "1", lambda: float(made.open_calls))
-    observe("log_reachable", "1", lambda: float(made.uplink.log_reachable))
-    observe("staleness", "s", lambda: min(made.staleness(), 1e9))
+    node = _make_router(settings, keepers, bind)
+    observe("open_calls", "1", lambda: float(node.open_calls))
+    observe("log_reachable", "1", lambda: float(node.uplink.log_reachable))
+    observe("staleness", "s", lambda: min(node.staleness(), 1e9))
     stopped = trio.Event()
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(made.run)
+        nursery.start_soon(node.run)
         nursery.start_soon(
-            partial(serve_http, make_app(made, spans), bind, stopped.wait, GRACEFUL_S)
+            partial(serve_http, make_app(node, spans), bind, stopped.wait, SHUTDOWN_TIMEOUT_S)
         )
         relax_gc()
         announce({"http": bind.address})
         await wait_for_stop()
-        await made.drain()
+        await node.drain()
         stopped.set()
         await trio.lowlevel.checkpoint()
-        nursery.cancel_scope.deadline = trio.current_time() + GRACEFUL_S
+        nursery.cancel_scope.deadline = trio.current_time() + SHUTDOWN_TIMEOUT_S
 
 
 def _make_router(settings: RouterSettings, keepers: list[tuple[str, int]], bind: Bind) -> Router:
--- a/railtide/router/requests.py
+++ b/railtide/router/requests.py
@@ -1,4 +1,4 @@
-"""A caller's HTTP request, authenticated, checked and priced into a call."""
+"""Conversion of a caller's HTTP request into an authenticated, validated and priced call."""
 
 from dataclasses import dataclass, field
 from uuid import uuid4
@@ -23,9 +23,10 @@
 SAFE_METHODS = ("GET", "HEAD", "OPTIONS")
 METHODS = (*SAFE_METHODS, "POST", "PUT", "PATCH", "DELETE")
 TEMPLATE_TOKENS = 16
-MOST_KEY = 255
-LEAST_TIMEOUT_S = 0.001
-MOST_TIMEOUT_S = 3600.0
+"""Tokens reserved for each message in addition to its bytes, for the engine's chat template."""
+MAX_KEY_LENGTH = 255
+MIN_TIMEOUT_S = 0.001
+MAX_TIMEOUT_S = 3600.0
 TIMEOUT_HEADER = "railtide-timeout"
 URGENCY_HEADER = "railtide-urgency"
 KEY_HEADER = "idempotency-key"
@@ -33,7 +34,7 @@
 
 @dataclass(frozen=True)
 class HttpRequest:
-    """A request as it was read; header names are in lower case."""
+    """A complete HTTP request; header names are in lower case."""
 
     method: str
     path: str
@@ -59,7 +60,7 @@
     Raises
     ------
     Unauthorized
-        No token, or one that belongs to no account.
+        The token is missing or belongs to no account.
     """
     header = request.headers.get("authorization", "")
     if header[: len(BEARER)].lower() != BEARER:
@@ -71,7 +72,7 @@
 
 
 def call_of(request: HttpRequest, directory: Directory, options: RouterOptions) -> Call:
-    """Return the call that a request asks for.
+    """Return the call described by a request.
 
     Raises
     ------
@@ -93,21 +94,21 @@
     options: RouterOptions,
 ) -> Call:
     if request.method != "POST":
-        raise InvalidRequest(f"{CHAT_PATH} takes POST")
+        raise InvalidRequest(f"{CHAT_PATH} accepts only POST")
     body = _decode_chat(request.body)
     model = _allowed_model(directory, settings, body.model)
-    most_out = _most_output(body, settings)
+    max_output = _max_output(body, settings)
     prompt = b"".join(bytes(message) for message in body.messages)
-    most_in = len(prompt) + TEMPLATE_TOKENS * len(body.messages)
+    max_input = len(prompt) + TEMPLATE_TOKENS * len(body.messages)
     prices = Prices(token_in=model.price_in, token_out=model.price_out)
     return Call(
-        **_common(request, account, settings),
+        **_common_fields(request, account, settings),
         pool=model.pool,
         path=CHAT_PATH,
-        body=_with_limit(request.body, body, most_out),
+        body=_with_limit(request.body, body, max_output),
         prices=prices,
-        reserve=most_in * model.price_in + most_out * model.price_out,
-        prompt_tokens=most_in,
+        reserve=max_input * model.price_in + max_output * model.price_out,
+        prompt_tokens=max_input,
         stream=body.stream,
         repeatable=True,
         affinity=_affinity(account, prompt[: options.prefix_bytes]),
@@ -118,35 +119,35 @@
     try:
         return _chat_decoder.decode(body)
     except msgspec.DecodeError as err:
-        raise InvalidRequest(f"the body is no chat completion request: {err}") from err
+        raise InvalidRequest(f"the body is not a chat completion request: {err}") from err
 
 
 def _allowed_model(directory: Directory, settings: AccountSettings, name: str) -> ModelBody:
     model = directory.model(name)
     if model is None or name not in settings.models:
-        raise NotAllowed(f"the account may not reach a model {name!r}")
+        raise NotAllowed(f"the account may not use model {name!r}, or it does not exist")
     return model
 
 
-def _most_output(body: _ChatBody, settings: AccountSettings) -> int:
-    asked = body.max_completion_tokens or body.max_tokens or settings.max_output_tokens
-    if asked < 1:
+def _max_output(body: _ChatBody, settings: AccountSettings) -> int:
+    requested = body.max_completion_tokens or body.max_tokens or settings.max_output_tokens
+    if requested < 1:
         raise InvalidRequest("max_tokens: must be at least 1")
-    return min(asked, settings.max_output_tokens)
+    return min(requested, settings.max_output_tokens)
 
 
-def _with_limit(body: bytes, chat: _ChatBody, most_out: int) -> bytes:
-    """Return the body with its output bounded, so that the reserve is the greatest cost."""
-    if chat.max_tokens == most_out and chat.max_completion_tokens is None:
+def _with_limit(body: bytes, chat: _ChatBody, max_output: int) -> bytes:
+    """Return the body with its output limited, so that the cost can't exceed the reserve."""
+    if chat.max_tokens == max_output and chat.max_completion_tokens is None:
         return body
     fields = msgspec.json.decode(body, type=dict[str, msgspec.Raw])
     fields.pop("max_completion_tokens", None)
-    fields["max_tokens"] = msgspec.Raw(str(most_out).encode())
+    fields["max_tokens"] = msgspec.Raw(str(max_output).encode())
     return msgspec.json.encode(fields)
 
 
 def _affinity(account: str, prefix: bytes) -> Affinity:
-    """Return the affinity of a prompt's prefix; no two accounts share one."""
+    """Return the affinity key of a prompt's prefix; accounts never share a key."""
     return Affinity(f"{account}/{xxhash.xxh3_64_hexdigest(prefix)}")
 
 
@@ -155,19 +156,19 @@
 ) -> Call:
     if request.method not in METHODS:
         raise InvalidRequest(f"method {request.method!r} is not one of {', '.join(METHODS)}")
-    name, _, rest = request.path.removeprefix(SERVICES_PATH).partition("/")
+    name, _, service_path = request.path.removeprefix(SERVICES_PATH).partition("/")
     service = directory.service(name)
     if service is None or name not in settings.services:
-        raise NotAllowed(f"the account may not reach a service {name!r}")
-    repeatable = _is_repeatable(service, request.method, rest)
-    common = _common(request, account, settings)
-    if not repeatable and not common["key"]:
-        raise KeyRequired("this call runs at most once: send an Idempotency-Key")
+        raise NotAllowed(f"the account may not use service {name!r}, or it does not exist")
+    repeatable = _is_repeatable(service, request.method, service_path)
+    common_fields = _common_fields(request, account, settings)
+    if not repeatable and not common_fields["key"]:
+        raise KeyRequired("this call runs at most once and requires an Idempotency-Key")
     query = f"?{request.query}" if request.query else ""
     return Call(
-        **common,
+        **common_fields,
         pool=service.pool,
-        path=f"/{rest}{query}",
+        path=f"/{service_path}{query}",
         body=request.body,
         prices=Prices(call=service.price),
         reserve=service.price,
@@ -182,12 +183,14 @@
     return not any(path.startswith(prefix.lstrip("/")) for prefix in service.once)
 
 
-def _common(request: HttpRequest, account: str, settings: AccountSettings) -> dict[str, object]:
-    """Return the fields that all calls have."""
+def _common_fields(
+    request: HttpRequest, account: str, settings: AccountSettings
+) -> dict[str, object]:
+    """Return the fields that chat and service calls have in common."""
     headers = request.headers
     key = headers.get(KEY_HEADER, "")
-    if len(key) > MOST_KEY:
-        raise InvalidRequest(f"{KEY_HEADER}: at most {MOST_KEY} characters")
+    if len(key) > MAX_KEY_LENGTH:
+        raise InvalidRequest(f"{KEY_HEADER}: at most {MAX_KEY_LENGTH} characters")
     return {
         "request_id": f"rt-{uuid4().hex}",
         "account": account,
@@ -207,23 +210,25 @@
     return xxhash.xxh3_64_intdigest(head + request.body)
 
 
-def _urgency(asked: str, settings: AccountSettings) -> Urgency:
-    """Return the lane: what the account may use, or a less urgent one that the caller names."""
+def _urgency(requested: str, settings: AccountSettings) -> Urgency:
+    """Return the account's urgency, or a lower one that the caller requested."""
     allowed = Urgency[settings.urgency.upper()]
-    if not asked:
+    if not requested:
         return allowed
-    if asked.upper() not in Urgency.__members__:
+    if requested.upper() not in Urgency.__members__:
         raise InvalidRequest(f"{URGENCY_HEADER}: must be urgent or bulk")
-    return max(allowed, Urgency[asked.upper()])
+    return max(allowed, Urgency[requested.upper()])
 
 
-def _timeout(asked: str, settings: AccountSettings) -> float:
-    if not asked:
+def _timeout(requested: str, settings: AccountSettings) -> float:
+    if not requested:
         return settings.request_timeout_s
     try:
-        seconds = float(asked)
+        seconds = float(requested)
     except ValueError as err:
-        raise InvalidRequest(f"{TIMEOUT_HEADER}: must be seconds") from err
-    if not LEAST_TIMEOUT_S <= seconds <= MOST_TIMEOUT_S:
-        raise InvalidRequest(f"{TIMEOUT_HEADER}: from {LEAST_TIMEOUT_S} to {MOST_TIMEOUT_S}")
+        raise InvalidRequest(f"{TIMEOUT_HEADER}: must be a number of seconds") from err
+    if not MIN_TIMEOUT_S <= seconds <= MAX_TIMEOUT_S:
+        raise InvalidRequest(
+            f"{TIMEOUT_HEADER}: must be from {MIN_TIMEOUT_S} to {MAX_TIMEOUT_S} seconds"
+        )
     return seconds
--- a/railtide/router/router.py
+++ b/railtide/router/router.py
@@ -1,4 +1,4 @@
-"""The router: its parts put together, and its life from start to a graceful shutdown."""
+"""The router: wires its components and runs them from start to graceful shutdown."""
 
 from collections.abc import Awaitable, Callable
 from random import Random
@@ -46,8 +46,8 @@
 
 __all__ = ["Router"]
 
-SOON_S = 1.0
-DRAIN_TICK_S = 0.05
+RETRY_AFTER_S = 1.0
+DRAIN_POLL_S = 0.05
 UPSTREAM_ROLES = (Role.ENGINE, Role.SERVICE)
 
 
@@ -58,7 +58,7 @@
     ----------
     identity : Identity
     keepers : list of callable
-        How to connect to keepers, in order of preference.
+        Functions that connect to a keeper, in order of preference.
     upstreams : UpstreamClient
     options : RouterOptions
     rng : random.Random
@@ -84,10 +84,10 @@
         self._epochs = 0
         self._members: list[Instance] = []
         self.schedulers_by_pool: dict[str, PoolScheduler] = {}
-        self._fresh_at: float | None = None
+        self._last_fresh_at: float | None = None
         self._nursery: trio.Nursery | None = None
         self._epoch_by_holder: dict[str, Epoch] = {}
-        self.budgets = LogBudgetSource(self._open_epoch, self._log_reachable, self._holders)
+        self.budgets = LogBudgetSource(self._open_epoch, self._log_reachable, self._holder_count)
         self._retries = RetryBudget()
         self._services = Services(
             upstreams,
@@ -111,37 +111,37 @@
             self.counters,
         )
 
-    # -- life ---------------------------------------------------------------------------------
+    # -- lifecycle ----------------------------------------------------------------------------
 
     @property
     def ready(self) -> bool:
-        """True once the keeper has caught up with the log and this router is known there."""
-        return self._fresh_at is not None and not self.draining
+        """True once a keeper has caught up with the log, until this router drains."""
+        return self._last_fresh_at is not None and not self.draining
 
     async def run(self) -> None:
-        """Run all duties until cancelled."""
+        """Run all background tasks until cancelled."""
         try:
             async with trio.open_nursery() as nursery:
                 self._nursery = nursery
                 nursery.start_soon(self.uplink.run)
                 nursery.start_soon(self.budgets.run)
                 nursery.start_soon(self._run_heartbeats)
-                nursery.start_soon(self._run_loads)
+                nursery.start_soon(self._run_load_polls)
         finally:
             self._nursery = None
 
     async def drain(self) -> None:
-        """Leave: be named to no caller, finish what is open, give back, close."""
+        """Stop being advertised, finish open requests, return all budget and close the holder."""
         logger.info("draining")
         if self.budgets.epoch is None:
             self.draining = True
             return
         self.budgets.epoch.writer.submit(Leaving())
-        await self._sleep_while_named()
+        await self._sleep_while_advertised()
         self.draining = True
         with trio.move_on_after(self.options.drain_s):
             while self.open_calls or self.budgets.epoch.open_reservations:
-                await trio.sleep(DRAIN_TICK_S)
+                await trio.sleep(DRAIN_POLL_S)
         self.budgets.return_all()
         writer = self.budgets.epoch.writer
         writer.closed = True
@@ -149,8 +149,8 @@
         await closing.wait_at_most(self.options.address_ttl_s)
         logger.info("drained; {} requests left open", self.open_calls)
 
-    async def _sleep_while_named(self) -> None:
-        """Serve on while callers may hold an answer that names this router."""
+    async def _sleep_while_advertised(self) -> None:
+        """Keep serving until no caller can have a cached answer that advertises this router."""
         await trio.sleep(self.options.address_ttl_s)
 
     async def _run_heartbeats(self) -> None:
@@ -160,7 +160,7 @@
             if epoch and not epoch.writer.pending():
                 epoch.writer.submit(Heartbeat())
 
-    async def _run_loads(self) -> None:
+    async def _run_load_polls(self) -> None:
         while True:
             await trio.sleep(self.options.load_interval_s)
             async with trio.open_nursery() as nursery:
@@ -180,7 +180,7 @@
 
     async def serve(self, call: Call, sink: AnswerSink) -> None:
         """Answer a call; see `Dispatcher.serve`."""
-        self._check_open(call)
+        self._check_admission(call)
         self.open_calls += 1
         try:
             await self._dispatcher.serve(call, sink)
@@ -189,40 +189,41 @@
             self.open_calls -= 1
 
     def check_ready(self) -> None:
-        """Raise `Draining` or `NotReady` unless new requests are taken."""
+        """Raise `Draining` or `NotReady` unless new requests are accepted."""
         if self.draining:
             raise Draining("this router is leaving; use another address", retry_after=0)
-        if self._fresh_at is None:
-            raise NotReady("this router has not caught up with the log", retry_after=SOON_S)
+        if self._last_fresh_at is None:
+            raise NotReady("this router has not caught up with the log", retry_after=RETRY_AFTER_S)
 
-    def _check_open(self, call: Call) -> None:
+    def _check_admission(self, call: Call) -> None:
         self.check_ready()
-        most_stale = call.settings.max_stale_s
-        if most_stale and self.staleness() > most_stale:
+        staleness_limit_s = call.settings.max_stale_s
+        if staleness_limit_s and self.staleness() > staleness_limit_s:
             raise StaleConfiguration(
-                "this router is cut off for longer than the account allows", retry_after=SOON_S
+                "this router has been cut off for longer than the account allows",
+                retry_after=RETRY_AFTER_S,
             )
         if self.budgets.epoch.writer.pending_bytes > self.options.pending_bytes:
-            raise BacklogFull("too many entries wait for the log", retry_after=SOON_S)
+            raise BacklogFull("too many entries wait for the log", retry_after=RETRY_AFTER_S)
 
     def staleness(self) -> float:
-        """Return how long ago the configuration was known to be fresh, seconds."""
-        if self._fresh_at is None:
+        """Return the time since the configuration was last known to be current, seconds."""
+        if self._last_fresh_at is None:
             return float("inf")
-        return trio.current_time() - self._fresh_at
+        return trio.current_time() - self._last_fresh_at
 
     def addresses(self, account: str) -> list[RouterEndpoint]:
-        """Return the routers that callers of an account are to use now.
+        """Return the endpoints of the routers that callers of an account are to use now.
 
         Raises
         ------
         NoInstance
-            None is known that is live.
+            No live router is known.
         """
         settings = self.directory.settings(account) or AccountSettings()
         chosen = endpoints_for(account, self._endpoints(), settings.entrances)
         if not chosen:
-            raise NoInstance("no live router is known", retry_after=SOON_S)
+            raise NoInstance("no live router is known", retry_after=RETRY_AFTER_S)
         return chosen
 
     def _endpoints(self) -> list[RouterEndpoint]:
@@ -232,12 +233,12 @@
             if member.role == Role.ROUTER and member.state is InstanceState.LIVE
         ]
 
-    # -- what the parts ask -------------------------------------------------------------------
+    # -- callbacks for the components ---------------------------------------------------------
 
     def _log_reachable(self) -> bool:
         return self.uplink.log_reachable
 
-    def _holders(self, settings: AccountSettings) -> int:
+    def _holder_count(self, settings: AccountSettings) -> int:
         return max(1, min(settings.entrances, len(self._endpoints())))
 
     def _prices_of(self, pool: str) -> Prices:
@@ -265,7 +266,7 @@
         writer.submit(OpenHolder(who.instance, who.failure_domain, who.address, Role.ROUTER, since))
         return epoch
 
-    # -- messages of the keeper ---------------------------------------------------------------
+    # -- messages from the keeper -------------------------------------------------------------
 
     def _on_message(self, message: Message) -> None:
         match message:
@@ -294,7 +295,7 @@
 
     def _on_status(self, message: LogStatusMessage) -> None:
         if message.reachable and message.caught_up:
-            self._fresh_at = trio.current_time()
+            self._last_fresh_at = trio.current_time()
             self.budgets.begin()
 
     def _on_members(self, message: MembersMessage) -> None:
@@ -308,8 +309,8 @@
 
     def _scheduler(self, pool: str) -> PoolScheduler:
         if pool not in self.schedulers_by_pool:
-            choice = PrefixAffinity(TwoChoices(self._rng))
+            policy = PrefixAffinity(TwoChoices(self._rng))
             self.schedulers_by_pool[pool] = PoolScheduler(
-                choice, None, self.options.urgent_share, self.options.most_waiting
+                policy, None, self.options.urgent_share, self.options.max_waiting
             )
         return self.schedulers_by_pool[pool]
--- a/railtide/router/status.py
+++ b/railtide/router/status.py
@@ -1,14 +1,14 @@
-"""What a router tells operators of itself."""
+"""The status that a router reports to operators."""
 
 import msgspec
 
 from railtide.router.router import Router
 
-__all__ = ["HandStatus", "RouterStatus", "UpstreamStatus", "status_of"]
+__all__ = ["AllocationStatus", "RouterStatus", "UpstreamStatus", "status_of"]
 
 
-class HandStatus(msgspec.Struct):
-    """One account's budget in this router's hand, units."""
+class AllocationStatus(msgspec.Struct):
+    """One account's budget allocated to this router, units."""
 
     account: str
     available: int
@@ -32,8 +32,9 @@
 class RouterStatus(msgspec.Struct):
     """The body of `/admin/status`.
 
-    `offset` is how far the log is folded; `versions` tells which version of each object is in
-    force here; `staleness_s` is -1 before the first news; `keeper_links` counts links made.
+    `offset` is the offset up to which the log is folded; `versions` is the version of each object
+    in use; `staleness_s` is -1 until the configuration was first known to be current;
+    `keeper_links` counts the links opened to keepers; `hands` lists the allocations.
     """
 
     instance: str
@@ -50,7 +51,7 @@
     invalid_objects: int
     keeper_links: int
     versions: dict[str, int]
-    hands: list[HandStatus]
+    hands: list[AllocationStatus]
     upstreams: list[UpstreamStatus]
     counters: dict[str, int]
 
@@ -74,26 +75,26 @@
         invalid_objects=router.directory.invalid,
         keeper_links=router.uplink.connects,
         versions=router.directory.versions(),
-        hands=_hands(router),
+        hands=_allocations(router),
         upstreams=_upstreams(router),
         counters=router.counters.values_by_name(),
     )
 
 
-def _hands(router: Router) -> list[HandStatus]:
+def _allocations(router: Router) -> list[AllocationStatus]:
     epoch = router.budgets.epoch
     if epoch is None:
         return []
     return [
-        HandStatus(
+        AllocationStatus(
             account,
-            hand.available,
-            hand.reserved,
-            hand.spent,
-            hand.exposed,
-            hand.exposure_limit,
+            allocation.available,
+            allocation.reserved,
+            allocation.spent,
+            allocation.exposed,
+            allocation.exposure_limit,
         )
-        for account, hand in sorted(epoch.by_account.items())
+        for account, allocation in sorted(epoch.by_account.items())
     ]
 
 
--- a/railtide/router/tests/test_app.py
+++ b/railtide/router/tests/test_app.py
@@ -19,11 +19,11 @@
 
 
 class FakeRouter:
-    """A router whose way of serving the test gives."""
+    """A router whose `serve` is given by the test."""
 
     def __init__(self, serve: Callable[[Call, AnswerSink], Awaitable[None]]) -> None:
         self.serve = serve
-        self.options = RouterOptions(most_body_bytes=1000)
+        self.options = RouterOptions(max_body_bytes=1000)
         self.counters = Counters()
         self.draining = False
         self.directory = Directory()
@@ -40,7 +40,9 @@
         raise NoInstance
 
 
-async def answer_of(router: FakeRouter, body: bytes = BODY, gone: bool = False, **headers: str):
+async def answer_of(
+    router: FakeRouter, body: bytes = BODY, disconnects: bool = False, **headers: str
+):
     """Return status, headers and body of one call."""
     sent = []
     parts = [{"type": "http.request", "body": body, "more_body": False}]
@@ -48,7 +50,7 @@
     async def receive():
         if parts:
             return parts.pop(0)
-        if gone:
+        if disconnects:
             return {"type": "http.disconnect"}
         await trio.sleep_forever()
 
@@ -71,7 +73,7 @@
 
 
 class TestRouterApp:
-    async def test_answer_is_passed_with_its_id(self) -> None:
+    async def test_answer_carries_its_request_id(self) -> None:
         async def serve(call: Call, sink: AnswerSink) -> None:
             await sink.start(200, "text/event-stream", call.request_id)
             await sink.write(b"data")
@@ -99,7 +101,7 @@
         assert status == 200
         assert body.startswith(b"event: error\ndata: ") and b"[DONE]" not in body
 
-    async def test_unexpected_error_is_answered_and_does_not_say_not_run(self) -> None:
+    async def test_unexpected_error_is_answered_with_run_unknown(self) -> None:
         async def serve(call: Call, sink: AnswerSink) -> None:
             raise ZeroDivisionError
 
@@ -107,7 +109,7 @@
         problem = json.loads(body)
         assert (status, problem["code"], problem["run"]) == (500, "internal-error", "unknown")
 
-    async def test_caller_that_goes_away_ends_its_call(self) -> None:
+    async def test_disconnect_cancels_a_call_without_a_key(self) -> None:
         ended = []
 
         async def serve(call: Call, sink: AnswerSink) -> None:
@@ -116,23 +118,23 @@
             finally:
                 ended.append(call.key)
 
-        assert await answer_of(FakeRouter(serve), gone=True) is None
+        assert await answer_of(FakeRouter(serve), disconnects=True) is None
         assert ended == [""]
 
-    async def test_call_with_a_key_runs_on_without_its_caller(self) -> None:
+    async def test_call_with_a_key_continues_after_a_disconnect(self) -> None:
         async def serve(call: Call, sink: AnswerSink) -> None:
             await trio.sleep(0.01)
             await sink.start(200, "", call.request_id)
             await sink.finish()
 
-        answered = await answer_of(FakeRouter(serve), gone=True, **{"idempotency-key": "x"})
+        answered = await answer_of(FakeRouter(serve), disconnects=True, **{"idempotency-key": "x"})
         assert answered[0] == 200
 
-    async def test_too_large_a_body_is_refused(self) -> None:
+    async def test_body_above_the_limit_is_refused(self) -> None:
         _, _, body = await answer_of(FakeRouter(None), body=b"x" * 2000)
         assert json.loads(body)["code"] == "invalid-request"
 
-    async def test_leaving_router_says_not_run(self) -> None:
+    async def test_draining_router_answers_not_run(self) -> None:
         router = FakeRouter(None)
         router.draining = True
         status, _, body = await answer_of(router)
--- a/railtide/router/tests/test_requests.py
+++ b/railtide/router/tests/test_requests.py
@@ -41,7 +41,7 @@
 
 
 class TestChatCall:
-    async def test_reserve_covers_the_greatest_cost(self, directory: Directory) -> None:
+    async def test_reserve_covers_the_maximum_cost(self, directory: Directory) -> None:
         call = call_of(chat(BODY), directory, OPTIONS)
         assert call.reserve >= 2 * len("hi") + 3 * 50
         assert json.loads(call.body)["max_tokens"] == 50
@@ -57,11 +57,11 @@
         assert lower.urgency is Urgency.BULK
         assert call_of(chat(BODY), directory, OPTIONS).urgency is Urgency.URGENT
 
-    async def test_deadline_is_the_callers(self, directory: Directory) -> None:
+    async def test_deadline_follows_the_callers_timeout(self, directory: Directory) -> None:
         call = call_of(chat(BODY, **{"railtide-timeout": "2.5"}), directory, OPTIONS)
         assert 2 < call.deadline - trio.current_time() <= 2.5
 
-    async def test_affinity_is_of_one_account(self, directory: Directory) -> None:
+    async def test_affinity_key_contains_the_account(self, directory: Directory) -> None:
         assert call_of(chat(BODY), directory, OPTIONS).affinity.key.startswith("a/")
 
 
--- a/railtide/router/tests/test_uplink.py
+++ b/railtide/router/tests/test_uplink.py
@@ -1,4 +1,4 @@
-"""Tests of railtide.router.uplink: a keeper that is silent, and one behind a narrow link."""
+"""Tests of railtide.router.uplink: an unresponsive keeper, and one behind a narrow link."""
 
 from random import Random
 
@@ -20,10 +20,10 @@
 )
 
 
-class TestSilence:
-    async def test_long_message_is_no_silence(self, autojump_clock) -> None:
-        """Two megabytes take more than 3 s of 5 Mbit/s; each new link began with the same."""
-        taken: list[Message] = []
+class TestIdleTimeout:
+    async def test_long_message_does_not_time_out(self, autojump_clock) -> None:
+        """Two megabytes take more than 3 s at 5 Mbit/s, and are the first message of each link."""
+        received: list[Message] = []
         async with trio.open_nursery() as nursery:
 
             async def connect() -> Link:
@@ -31,18 +31,18 @@
                 nursery.start_soon(TcpLink(far).send, MEMBERS)
                 return TcpLink(near)
 
-            uplink = Uplink([connect], taken.append, Random(1))
+            uplink = Uplink([connect], received.append, Random(1))
             nursery.start_soon(uplink.run)
             await trio.sleep(30)
             nursery.cancel_scope.cancel()
-        assert taken[0] == MEMBERS
+        assert received[0] == MEMBERS
 
-    async def test_silent_keeper_is_left_for_the_next(self, autojump_clock) -> None:
-        taken: list[Message] = []
+    async def test_next_keeper_is_tried_after_an_unresponsive_one(self, autojump_clock) -> None:
+        received: list[Message] = []
         status = LogStatusMessage(True, 1, 1, True)
         async with trio.open_nursery() as nursery:
 
-            async def connect_silent() -> Link:
+            async def connect_unresponsive() -> Link:
                 return TcpLink(narrow_stream_pair(nursery)[0])
 
             async def connect() -> Link:
@@ -50,8 +50,8 @@
                 nursery.start_soon(TcpLink(far).send, status)
                 return TcpLink(near)
 
-            uplink = Uplink([connect_silent, connect], taken.append, Random(1))
+            uplink = Uplink([connect_unresponsive, connect], received.append, Random(1))
             nursery.start_soon(uplink.run)
             await trio.sleep(5)
             nursery.cancel_scope.cancel()
-        assert taken == [status]
+        assert received == [status]
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -1227,14 +1227,14 @@
     Mutant(
         "silent-keeper-is-kept",
         "router/uplink.py",
-        "link.receive(SILENCE_S)",
+        "link.receive(IDLE_TIMEOUT_S)",
         "link.receive()",
         ("railtide/router/tests/test_uplink.py",),
     ),
     Mutant(
         "silent-keeper-is-asked-first-again",
         "router/uplink.py",
-        "            except LinkSilent:\n                self._turn += 1\n",
+        "            except LinkSilent:\n                self._keeper_index += 1\n",
         "            except LinkSilent:\n",
         ("railtide/router/tests/test_uplink.py",),
     ),
