--- a/railtide/wire/links.py
+++ b/railtide/wire/links.py
@@ -28,24 +28,24 @@
     """One end of a link. A message is delivered whole, in order, at most once."""
 
     @abstractmethod
-    async def send(self, message: Message, silence_s: float = math.inf) -> None:
+    async def send(self, message: Message, idle_timeout_s: float = math.inf) -> None:
         """Send a message.
 
         Raises
         ------
         LinkLost
-            The other end is gone; `LinkSilent` if it took nothing for `silence_s`. What was sent
+            The other end is gone; `LinkSilent` if it took nothing for `idle_timeout_s`. What was sent
             of the message then ends nowhere: the link is to be closed.
         """
 
     @abstractmethod
-    async def receive(self, silence_s: float = math.inf) -> Message:
+    async def receive(self, idle_timeout_s: float = math.inf) -> Message:
         """Return the next message.
 
         Raises
         ------
         LinkLost
-            The other end is gone; `LinkSilent` if nothing came from it for `silence_s`.
+            The other end is gone; `LinkSilent` if nothing came from it for `idle_timeout_s`.
         """
 
     @abstractmethod
@@ -73,35 +73,35 @@
         self._buffer = bytearray()
         self._sending = trio.Lock()
 
-    async def send(self, message: Message, silence_s: float = math.inf) -> None:
+    async def send(self, message: Message, idle_timeout_s: float = math.inf) -> None:
         """Send a message; see `Link.send`."""
         data = message_to_bytes(message)
         framed = memoryview(len(data).to_bytes(LENGTH_BYTES, "big") + data)
         try:
             async with self._sending:
                 for at in range(0, len(framed), SEND_BYTES):
-                    with _silence(silence_s):
+                    with _silence(idle_timeout_s):
                         await self._stream.send_all(framed[at : at + SEND_BYTES])
         except (trio.BrokenResourceError, trio.ClosedResourceError) as err:
             raise LinkLost(str(err)) from err
 
-    async def receive(self, silence_s: float = math.inf) -> Message:
+    async def receive(self, idle_timeout_s: float = math.inf) -> Message:
         """Return the next message of a known kind; see `Link.receive`."""
         while True:
-            size = int.from_bytes(await self._take(LENGTH_BYTES, silence_s), "big")
+            size = int.from_bytes(await self._take(LENGTH_BYTES, idle_timeout_s), "big")
             if size > MOST_BYTES:
                 raise LinkLost(f"a message of {size} bytes is larger than {MOST_BYTES}")
             try:
-                message = message_from_bytes(await self._take(size, silence_s))
+                message = message_from_bytes(await self._take(size, idle_timeout_s))
             except UnreadableMessage as err:
                 raise LinkLost(str(err)) from err
             if message is not None:
                 return message
 
-    async def _take(self, size: int, silence_s: float) -> bytes:
+    async def _take(self, size: int, idle_timeout_s: float) -> bytes:
         while len(self._buffer) < size:
             try:
-                with _silence(silence_s):
+                with _silence(idle_timeout_s):
                     data = await self._stream.receive_some(RECEIVE_BYTES)
             except (trio.BrokenResourceError, trio.ClosedResourceError) as err:
                 raise LinkLost(str(err)) from err
@@ -126,18 +126,18 @@
         self._out = out
         self._into = into
 
-    async def send(self, message: Message, silence_s: float = math.inf) -> None:
+    async def send(self, message: Message, idle_timeout_s: float = math.inf) -> None:
         """Send a message; see `Link.send`."""
         try:
-            with _silence(silence_s):
+            with _silence(idle_timeout_s):
                 await self._out.send(message)
         except (trio.BrokenResourceError, trio.ClosedResourceError) as err:
             raise LinkLost("the link is closed") from err
 
-    async def receive(self, silence_s: float = math.inf) -> Message:
+    async def receive(self, idle_timeout_s: float = math.inf) -> Message:
         """Return the next message; see `Link.receive`."""
         try:
-            with _silence(silence_s):
+            with _silence(idle_timeout_s):
                 return await self._into.receive()
         except (trio.EndOfChannel, trio.ClosedResourceError) as err:
             raise LinkLost("the link is closed") from err
--- a/tests/matrix/ports.py
+++ b/tests/matrix/ports.py
@@ -177,12 +177,12 @@
         self._link = link
         self._port = port
 
-    async def send(self, message: Message, silence_s: float = math.inf) -> None:
+    async def send(self, message: Message, idle_timeout_s: float = math.inf) -> None:
         await self._port.gate()
-        await self._link.send(message, silence_s)
+        await self._link.send(message, idle_timeout_s)
 
-    async def receive(self, silence_s: float = math.inf) -> Message:
-        message = await self._link.receive(silence_s)
+    async def receive(self, idle_timeout_s: float = math.inf) -> Message:
+        message = await self._link.receive(idle_timeout_s)
         await self._port.gate()
         return message
 
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -1217,10 +1217,10 @@
     Mutant(
         "silence-counted-over-the-whole-message",
         "wire/links.py",
-        "            try:\n                with _silence(silence_s):\n"
+        "            try:\n                with _silence(idle_timeout_s):\n"
         "                    data = await self._stream.receive_some(RECEIVE_BYTES)\n",
         '            try:\n                began = locals().get("began", trio.current_time())\n'
-        "                with _silence(began + silence_s - trio.current_time()):\n"
+        "                with _silence(began + idle_timeout_s - trio.current_time()):\n"
         "                    data = await self._stream.receive_some(RECEIVE_BYTES)\n",
         ("railtide/router/tests/test_uplink.py",),
     ),
