--- a/railtide/wire/__init__.py
+++ b/railtide/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between railtide's own processes and the links that carry them."""
+"""Messages between railtide's processes, and the links that transport them."""
--- a/railtide/wire/codec.py
+++ b/railtide/wire/codec.py
@@ -1,4 +1,4 @@
-"""Messages to Cap'n Proto bytes and back."""
+"""Encoding of messages as Cap'n Proto bytes, and decoding."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -31,7 +31,7 @@
 capnp.remove_import_hook()
 _schema = capnp.load(str(Path(__file__).with_name("messages.capnp")))
 _verdict_decoder = msgspec.msgpack.Decoder(Verdict)
-MOST_WORDS = 1 << 23
+MAX_TRAVERSAL_WORDS = 1 << 23
 
 
 def _write_subscribe(out, message: SubscribeMessage) -> None:
@@ -193,7 +193,7 @@
 
 
 def message_to_bytes(message: Message) -> bytes:
-    """Return the message's bytes.
+    """Return a message encoded as bytes.
 
     Examples
     --------
@@ -206,15 +206,17 @@
 
 
 def message_from_bytes(data: bytes) -> Message | None:
-    """Return the message, or None for a kind that this version does not know.
+    """Return the decoded message, or None for a kind that this version does not know.
 
     Raises
     ------
     UnreadableMessage
-        If the bytes are no message of the schema.
+        The bytes are not a valid message of the schema.
     """
     try:
-        with _schema.Message.from_bytes(data, traversal_limit_in_words=MOST_WORDS) as message:
+        with _schema.Message.from_bytes(
+            data, traversal_limit_in_words=MAX_TRAVERSAL_WORDS
+        ) as message:
             kind = str(message.which)
             reader = _READERS.get(kind)
             read = reader(getattr(message, kind)) if reader else None
--- a/railtide/wire/errors.py
+++ b/railtide/wire/errors.py
@@ -6,7 +6,7 @@
 
 
 class WireError(RailtideError):
-    """Base of the wire's errors."""
+    """Base of the errors of links and messages."""
 
     code = "wire-error"
 
@@ -18,12 +18,12 @@
 
 
 class LinkSilent(LinkLost):
-    """No byte has moved for too long."""
+    """The link's idle timeout passed without a byte sent or received."""
 
     code = "link-silent"
 
 
 class UnreadableMessage(WireError):
-    """The bytes are no message of this schema."""
+    """The bytes are not a valid message of this schema."""
 
     code = "unreadable-message"
--- a/railtide/wire/links.py
+++ b/railtide/wire/links.py
@@ -1,7 +1,7 @@
 """Links: ordered two-way channels of messages, over TCP or inside one process.
 
-A message may be large and a link narrow. So what tells that the other end is gone is that no byte
-moves for a time, and never how long a whole message takes.
+A large message takes long on a narrow link. So timeouts apply to the time without any byte sent or
+received, never to the duration of a whole message.
 """
 
 import math
@@ -18,10 +18,10 @@
 __all__ = ["Connect", "Link", "MemoryLink", "TcpLink", "connect_tcp", "memory_link_pair"]
 
 LENGTH_BYTES = 4
-MOST_BYTES = 64 * 1024 * 1024
-RECEIVE_BYTES = 65_536
-SEND_BYTES = 65_536
-MEMORY_BACKLOG = 10_000
+MAX_MESSAGE_BYTES = 64 * 1024 * 1024
+RECEIVE_CHUNK_BYTES = 65_536
+SEND_CHUNK_BYTES = 65_536
+MEMORY_LINK_CAPACITY = 10_000
 
 
 class Link(ABC):
@@ -34,8 +34,8 @@
         Raises
         ------
         LinkLost
-            The other end is gone; `LinkSilent` if it took nothing for `idle_timeout_s`. What was sent
-            of the message then ends nowhere: the link is to be closed.
+            The other end is lost; `LinkSilent` if it accepted no byte for `idle_timeout_s`. The
+            message may then be sent in part: the link must be closed.
         """
 
     @abstractmethod
@@ -45,7 +45,7 @@
         Raises
         ------
         LinkLost
-            The other end is gone; `LinkSilent` if nothing came from it for `idle_timeout_s`.
+            The other end is lost; `LinkSilent` if no byte came from it for `idle_timeout_s`.
         """
 
     @abstractmethod
@@ -57,16 +57,16 @@
 
 
 @contextmanager
-def _silence(most_s: float) -> Iterator[None]:
-    """Raise `LinkSilent` if the block, in which bytes move once, takes longer."""
-    with trio.move_on_after(most_s) as scope:
+def _limit_idle_time(timeout_s: float) -> Iterator[None]:
+    """Raise `LinkSilent` if the block, a single send or receive, takes longer."""
+    with trio.move_on_after(timeout_s) as scope:
         yield
     if scope.cancelled_caught:
-        raise LinkSilent(f"no byte moved for {most_s} s")
+        raise LinkSilent(f"no byte was sent or received for {timeout_s} s")
 
 
 class TcpLink(Link):
-    """Cap'n Proto messages, each after its length (4 bytes, big endian), on a stream."""
+    """Cap'n Proto messages on a stream, each preceded by its length (4 bytes, big endian)."""
 
     def __init__(self, stream: trio.abc.Stream) -> None:
         self._stream = stream
@@ -76,41 +76,41 @@
     async def send(self, message: Message, idle_timeout_s: float = math.inf) -> None:
         """Send a message; see `Link.send`."""
         data = message_to_bytes(message)
-        framed = memoryview(len(data).to_bytes(LENGTH_BYTES, "big") + data)
+        frame = memoryview(len(data).to_bytes(LENGTH_BYTES, "big") + data)
         try:
             async with self._sending:
-                for at in range(0, len(framed), SEND_BYTES):
-                    with _silence(idle_timeout_s):
-                        await self._stream.send_all(framed[at : at + SEND_BYTES])
+                for at in range(0, len(frame), SEND_CHUNK_BYTES):
+                    with _limit_idle_time(idle_timeout_s):
+                        await self._stream.send_all(frame[at : at + SEND_CHUNK_BYTES])
         except (trio.BrokenResourceError, trio.ClosedResourceError) as err:
             raise LinkLost(str(err)) from err
 
     async def receive(self, idle_timeout_s: float = math.inf) -> Message:
-        """Return the next message of a known kind; see `Link.receive`."""
+        """Return the next message of a known kind, skipping others; see `Link.receive`."""
         while True:
-            size = int.from_bytes(await self._take(LENGTH_BYTES, idle_timeout_s), "big")
-            if size > MOST_BYTES:
-                raise LinkLost(f"a message of {size} bytes is larger than {MOST_BYTES}")
+            size = int.from_bytes(await self._receive_exactly(LENGTH_BYTES, idle_timeout_s), "big")
+            if size > MAX_MESSAGE_BYTES:
+                raise LinkLost(f"a message of {size} bytes is larger than {MAX_MESSAGE_BYTES}")
             try:
-                message = message_from_bytes(await self._take(size, idle_timeout_s))
+                message = message_from_bytes(await self._receive_exactly(size, idle_timeout_s))
             except UnreadableMessage as err:
                 raise LinkLost(str(err)) from err
             if message is not None:
                 return message
 
-    async def _take(self, size: int, idle_timeout_s: float) -> bytes:
+    async def _receive_exactly(self, size: int, idle_timeout_s: float) -> bytes:
         while len(self._buffer) < size:
             try:
-                with _silence(idle_timeout_s):
-                    data = await self._stream.receive_some(RECEIVE_BYTES)
+                with _limit_idle_time(idle_timeout_s):
+                    data = await self._stream.receive_some(RECEIVE_CHUNK_BYTES)
             except (trio.BrokenResourceError, trio.ClosedResourceError) as err:
                 raise LinkLost(str(err)) from err
             if not data:
                 raise LinkLost("the other process closed the link")
             self._buffer += data
-        taken = bytes(self._buffer[:size])
+        received = bytes(self._buffer[:size])
         del self._buffer[:size]
-        return taken
+        return received
 
     async def aclose(self) -> None:
         """Close the stream."""
@@ -129,7 +129,7 @@
     async def send(self, message: Message, idle_timeout_s: float = math.inf) -> None:
         """Send a message; see `Link.send`."""
         try:
-            with _silence(idle_timeout_s):
+            with _limit_idle_time(idle_timeout_s):
                 await self._out.send(message)
         except (trio.BrokenResourceError, trio.ClosedResourceError) as err:
             raise LinkLost("the link is closed") from err
@@ -137,7 +137,7 @@
     async def receive(self, idle_timeout_s: float = math.inf) -> Message:
         """Return the next message; see `Link.receive`."""
         try:
-            with _silence(idle_timeout_s):
+            with _limit_idle_time(idle_timeout_s):
                 return await self._into.receive()
         except (trio.EndOfChannel, trio.ClosedResourceError) as err:
             raise LinkLost("the link is closed") from err
@@ -150,18 +150,18 @@
 
 def memory_link_pair() -> tuple[MemoryLink, MemoryLink]:
     """Return the two ends of a link inside one process."""
-    out_a, into_b = trio.open_memory_channel[Message](MEMORY_BACKLOG)
-    out_b, into_a = trio.open_memory_channel[Message](MEMORY_BACKLOG)
+    out_a, into_b = trio.open_memory_channel[Message](MEMORY_LINK_CAPACITY)
+    out_b, into_a = trio.open_memory_channel[Message](MEMORY_LINK_CAPACITY)
     return MemoryLink(out_a, into_a), MemoryLink(out_b, into_b)
 
 
 async def connect_tcp(host: str, port: int) -> TcpLink:
-    """Return a link to a keeper.
+    """Return a link to a process that listens on TCP.
 
     Raises
     ------
     LinkLost
-        If it can't be reached.
+        The address can't be reached.
     """
     try:
         return TcpLink(await trio.open_tcp_stream(host, port))
--- a/railtide/wire/messages.capnp
+++ b/railtide/wire/messages.capnp
@@ -1,8 +1,8 @@
 @0xd3b6f5c2a1e84f07;
 
-# Messages between a keeper and its routers, and between keepers. Records of the log travel
-# inside as the bytes that are appended to the log, so that no process re-encodes another's.
-# Fields and union members are only ever added.
+# Messages between a keeper and its routers, and between keepers. Log records are embedded as the
+# bytes that are appended to the log, so that no process re-encodes another's records.
+# For compatibility, fields and union members are only added, never changed or removed.
 
 struct Entry {
   holder @0 :Text;
--- a/railtide/wire/messages.py
+++ b/railtide/wire/messages.py
@@ -1,4 +1,4 @@
-"""The messages of `messages.capnp` as data classes."""
+"""The messages of `messages.capnp` as dataclasses."""
 
 from dataclasses import dataclass, field
 
@@ -25,12 +25,12 @@
 
 @dataclass(frozen=True)
 class SubscribeMessage:
-    """Router to keeper: tell me all that is in force, then each change."""
+    """Router to keeper: send the current state, then each change."""
 
 
 @dataclass(frozen=True)
 class EntryMessage:
-    """Router to keeper: put this entry into the log, and tell its verdict.
+    """Router to keeper: append this entry to the log and send its verdict.
 
     `traceparent` is empty for an entry whose request is not traced.
     """
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True)
 class ObjectMessage:
-    """Keeper to router: an object of the configuration is in force."""
+    """Keeper to router: the current version of a configuration object."""
 
     kind: str
     name: str
@@ -67,14 +67,14 @@
 
 @dataclass(frozen=True)
 class DemandMessage:
-    """Keeper to router: a grant on this account was refused; give back what lies idle."""
+    """Keeper to router: a grant on this account was refused; return unused budget."""
 
     account: str
 
 
 @dataclass(frozen=True)
 class LogStatusMessage:
-    """Keeper to router: whether the log answers, and how far it is folded."""
+    """Keeper to router: whether the log is reachable, and up to which offset it is folded."""
 
     reachable: bool
     offset: int
@@ -84,7 +84,7 @@
 
 @dataclass(frozen=True)
 class OrphanMessage:
-    """Keeper to router: learn what became of a fenced holder's request and settle it."""
+    """Keeper to router: find out the outcome of a lost holder's open request and settle it."""
 
     request_id: str
     account: str
@@ -96,7 +96,7 @@
 
 @dataclass(frozen=True)
 class ReadMessage:
-    """Keeper to keeper: read records of a stream for me."""
+    """Keeper to keeper: read records of a stream on the sender's behalf."""
 
     call: int
     stream: str
@@ -107,7 +107,7 @@
 
 @dataclass(frozen=True)
 class ReadReply:
-    """Answer to `ReadMessage`; `first` is above -1 when the start has expired."""
+    """Answer to `ReadMessage`; `first`, the oldest kept offset, is -1 unless the start expired."""
 
     call: int
     head: int = 0
@@ -118,7 +118,7 @@
 
 @dataclass(frozen=True)
 class AppendMessage:
-    """Keeper to keeper: append these bytes for me."""
+    """Keeper to keeper: append these bytes on the sender's behalf."""
 
     call: int
     stream: str
--- a/railtide/wire/tests/test_links.py
+++ b/railtide/wire/tests/test_links.py
@@ -33,11 +33,11 @@
 
 class TestCodec:
     @pytest.mark.parametrize("message", MESSAGES, ids=lambda message: type(message).__name__)
-    def test_message_survives_its_encoding(self, message: m.Message) -> None:
+    def test_message_round_trips(self, message: m.Message) -> None:
         assert message_from_bytes(message_to_bytes(message)) == message
 
     @given(data=st.binary(max_size=200))
-    def test_noise_is_unreadable_or_unknown(self, data: bytes) -> None:
+    def test_random_bytes_are_unreadable_or_unknown(self, data: bytes) -> None:
         try:
             message_from_bytes(data)
         except UnreadableMessage:
@@ -60,7 +60,7 @@
             with pytest.raises(LinkLost):
                 await receiver.receive()
 
-    async def test_oversized_message_loses_the_link(self) -> None:
+    async def test_oversized_message_raises_link_lost(self) -> None:
         near, far = trio.testing.memory_stream_pair()
         await near.send_all(b"\xff\xff\xff\xff")
         with pytest.raises(LinkLost):
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -1217,11 +1217,11 @@
     Mutant(
         "silence-counted-over-the-whole-message",
         "wire/links.py",
-        "            try:\n                with _silence(idle_timeout_s):\n"
-        "                    data = await self._stream.receive_some(RECEIVE_BYTES)\n",
+        "            try:\n                with _limit_idle_time(idle_timeout_s):\n"
+        "                    data = await self._stream.receive_some(RECEIVE_CHUNK_BYTES)\n",
         '            try:\n                began = locals().get("began", trio.current_time())\n'
-        "                with _silence(began + idle_timeout_s - trio.current_time()):\n"
-        "                    data = await self._stream.receive_some(RECEIVE_BYTES)\n",
+        "                with _limit_idle_time(began + idle_timeout_s - trio.current_time()):\n"
+        "                    data = await self._stream.receive_some(RECEIVE_CHUNK_BYTES)\n",
         ("railtide/router/tests/test_uplink.py",),
     ),
     Mutant(
