--- a/railtide/keeper/tests/test_appender.py
+++ b/railtide/keeper/tests/test_appender.py
@@ -56,8 +56,8 @@
         )
         self.appender = Appender(log, self.follower, options, rng, self.refused.extend)
 
-    def _on_folded(self, taken) -> None:
-        for folded in taken:
+    def _on_folded(self, folded_entries) -> None:
+        for folded in folded_entries:
             self.appender.discard_decided(folded.holder, folded.verdict.seq)
 
     async def append_all(self, *entries) -> None:
@@ -131,7 +131,7 @@
 
 
 class LongLog(NarrowLog):
-    """A log full of other keepers' records: reading it takes 26 s over the link."""
+    """A growing log full of other keepers' records: reading it takes 26 s over the link."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -146,7 +146,7 @@
 
 class TestLaggingFold:
     async def test_appended_entries_are_not_sent_again(self, autojump_clock) -> None:
-        """Guards against appending the same entries every 5 s while the log is being read."""
+        """Entries appended again every 5 s during a long read would lengthen the log for all."""
         node = Node(LongLog())
         began = trio.current_time()
         await node.append_all(*entries())
