--- a/bench/faults.py
+++ b/bench/faults.py
@@ -11,7 +11,7 @@
 from loguru import logger
 from trio.testing import MockClock
 
-from railtide.errors import Run
+from railtide.errors import ExecutionStatus
 from tests.matrix.checks import check_all
 from tests.matrix.scenario import FAULTS, Trigger, run_cell
 from tests.matrix.schedule import fix_schedule
@@ -41,7 +41,9 @@
         refused = Counter(
             a.error.code
             for a in attempts
-            if a.error and a.error.run is Run.NOT_RUN and a.error.code != "budget-exhausted"
+            if a.error
+            and a.error.run is ExecutionStatus.NOT_RUN
+            and a.error.code != "budget-exhausted"
         )
         refused.pop("draining", None)
         stranded = sum(sum(world.stranded.values()) for world in worlds)
--- a/railtide/budgets/errors.py
+++ b/railtide/budgets/errors.py
@@ -1,6 +1,6 @@
 """Errors of budgets. Each is raised before anything ran."""
 
-from railtide.errors import RailtideError, Run
+from railtide.errors import ExecutionStatus, RailtideError
 
 __all__ = ["BudgetError", "BudgetExhausted", "BudgetUnavailable", "ExposureReached"]
 
@@ -10,7 +10,7 @@
 
     code = "budget-error"
     status = 503
-    run = Run.NOT_RUN
+    run = ExecutionStatus.NOT_RUN
 
 
 class BudgetExhausted(BudgetError):
--- a/railtide/configuration/errors.py
+++ b/railtide/configuration/errors.py
@@ -1,6 +1,6 @@
 """Errors of the configuration."""
 
-from railtide.errors import RailtideError, Run
+from railtide.errors import ExecutionStatus, RailtideError
 
 __all__ = [
     "ConfigurationError",
@@ -16,7 +16,7 @@
 
     code = "configuration-error"
     status = 500
-    run = Run.NOT_RUN
+    run = ExecutionStatus.NOT_RUN
 
 
 class InvalidObject(ConfigurationError):
--- a/railtide/containment/errors.py
+++ b/railtide/containment/errors.py
@@ -1,6 +1,6 @@
 """Errors of crash containment."""
 
-from railtide.errors import RailtideError, Run
+from railtide.errors import ExecutionStatus, RailtideError
 
 __all__ = ["ContentHeld"]
 
@@ -13,4 +13,4 @@
 
     code = "content-held"
     status = 503
-    run = Run.NOT_RUN
+    run = ExecutionStatus.NOT_RUN
--- a/railtide/errors.py
+++ b/railtide/errors.py
@@ -5,7 +5,7 @@
 __all__ = ["RailtideError", "Run"]
 
 
-class Run(StrEnum):
+class ExecutionStatus(StrEnum):
     """Whether a refused or failed request ran.
 
     Attributes
@@ -41,7 +41,7 @@
 
     code = "internal-error"
     status = 500
-    run = Run.UNKNOWN
+    run = ExecutionStatus.UNKNOWN
     rests_on_configuration = False
 
     def __init__(self, detail: str = "", *, retry_after: float | None = None) -> None:
--- a/railtide/http/errors.py
+++ b/railtide/http/errors.py
@@ -1,6 +1,6 @@
 """Errors of HTTP connections."""
 
-from railtide.errors import RailtideError, Run
+from railtide.errors import ExecutionStatus, RailtideError
 
 __all__ = [
     "CallerGone",
@@ -23,7 +23,7 @@
     """No connection was made, so no byte of the request was sent."""
 
     code = "connect-failed"
-    run = Run.NOT_RUN
+    run = ExecutionStatus.NOT_RUN
 
 
 class ConnectRefused(ConnectFailed):
--- a/railtide/journal/errors.py
+++ b/railtide/journal/errors.py
@@ -1,6 +1,6 @@
 """Errors of the journal."""
 
-from railtide.errors import RailtideError, Run
+from railtide.errors import ExecutionStatus, RailtideError
 
 __all__ = ["EraRisen", "JournalError", "LogUnavailable", "RecordsExpired", "UnreadableBatch"]
 
@@ -16,7 +16,7 @@
     """The log did not answer; an append may still have taken effect."""
 
     code = "log-unavailable"
-    run = Run.UNKNOWN
+    run = ExecutionStatus.UNKNOWN
 
 
 class EraRisen(LogUnavailable):
--- a/railtide/lanes/errors.py
+++ b/railtide/lanes/errors.py
@@ -1,6 +1,6 @@
 """Errors of the lanes. Each is raised before the request was sent to an upstream."""
 
-from railtide.errors import RailtideError, Run
+from railtide.errors import ExecutionStatus, RailtideError
 
 __all__ = ["DeadlineTooNear", "LaneError", "NoUpstream", "QueueFull"]
 
@@ -10,7 +10,7 @@
 
     code = "lane-error"
     status = 503
-    run = Run.NOT_RUN
+    run = ExecutionStatus.NOT_RUN
 
 
 class QueueFull(LaneError):
--- a/railtide/membership/errors.py
+++ b/railtide/membership/errors.py
@@ -1,6 +1,6 @@
 """Errors of the membership package."""
 
-from railtide.errors import RailtideError, Run
+from railtide.errors import ExecutionStatus, RailtideError
 
 __all__ = ["InstanceListUnavailable", "MembershipError", "NoInstance"]
 
@@ -22,4 +22,4 @@
     """No live router is known whose address could be returned to a caller."""
 
     code = "no-instance"
-    run = Run.NOT_RUN
+    run = ExecutionStatus.NOT_RUN
--- a/railtide/platform/ingress.py
+++ b/railtide/platform/ingress.py
@@ -8,7 +8,7 @@
 from loguru import logger
 
 from railtide.edge.node import EdgeNode
-from railtide.errors import RailtideError, Run
+from railtide.errors import ExecutionStatus, RailtideError
 from railtide.http.errors import CallerGone
 from railtide.http.messages import Headers, HttpRequest, first_header
 from railtide.http.server import Responder
@@ -141,7 +141,7 @@
         """Respond with an error, unless a response has begun; return the status, 0 for none."""
         if responder.started or isinstance(err, CallerGone):
             return 0
-        not_run = err.run is Run.NOT_RUN and err.status >= MIN_SERVER_ERROR
+        not_run = err.run is ExecutionStatus.NOT_RUN and err.status >= MIN_SERVER_ERROR
         status = NOT_RUN_STATUS if not_run else err.status
         headers = [(b"content-type", PROBLEM_TYPE.encode())]
         retry_after = (
--- a/railtide/requests/errors.py
+++ b/railtide/requests/errors.py
@@ -1,6 +1,6 @@
 """Errors of requests to the router."""
 
-from railtide.errors import RailtideError, Run
+from railtide.errors import ExecutionStatus, RailtideError
 
 __all__ = [
     "AnswerGone",
@@ -31,7 +31,7 @@
 
     code = "invalid-request"
     status = 400
-    run = Run.NOT_RUN
+    run = ExecutionStatus.NOT_RUN
 
 
 class Unauthorized(RequestError):
@@ -39,7 +39,7 @@
 
     code = "unauthorized"
     status = 401
-    run = Run.NOT_RUN
+    run = ExecutionStatus.NOT_RUN
     rests_on_configuration = True
 
 
@@ -48,7 +48,7 @@
 
     code = "unknown-route"
     status = 404
-    run = Run.NOT_RUN
+    run = ExecutionStatus.NOT_RUN
     rests_on_configuration = True
 
 
@@ -57,7 +57,7 @@
 
     code = "not-allowed"
     status = 403
-    run = Run.NOT_RUN
+    run = ExecutionStatus.NOT_RUN
     rests_on_configuration = True
 
 
@@ -66,7 +66,7 @@
 
     code = "key-required"
     status = 400
-    run = Run.NOT_RUN
+    run = ExecutionStatus.NOT_RUN
 
 
 class KeyReused(RequestError):
@@ -74,7 +74,7 @@
 
     code = "key-reused"
     status = 422
-    run = Run.NOT_RUN
+    run = ExecutionStatus.NOT_RUN
 
 
 class RequestInProgress(RequestError):
@@ -82,7 +82,7 @@
 
     code = "request-in-progress"
     status = 409
-    run = Run.UNKNOWN
+    run = ExecutionStatus.UNKNOWN
 
 
 class AnswerGone(RequestError):
@@ -90,7 +90,7 @@
 
     code = "answer-gone"
     status = 410
-    run = Run.RAN
+    run = ExecutionStatus.RAN
 
 
 class OutcomeUnknown(RequestError):
@@ -98,7 +98,7 @@
 
     code = "outcome-unknown"
     status = 502
-    run = Run.UNKNOWN
+    run = ExecutionStatus.UNKNOWN
 
 
 class ClaimUnavailable(RequestError):
@@ -106,7 +106,7 @@
 
     code = "claim-unavailable"
     status = 503
-    run = Run.NOT_RUN
+    run = ExecutionStatus.NOT_RUN
 
 
 class DeadlineExceeded(RequestError):
@@ -114,7 +114,7 @@
 
     code = "deadline-exceeded"
     status = 504
-    run = Run.UNKNOWN
+    run = ExecutionStatus.UNKNOWN
 
 
 class HolderFenced(RequestError):
@@ -122,4 +122,4 @@
 
     code = "holder-fenced"
     status = 503
-    run = Run.NOT_RUN
+    run = ExecutionStatus.NOT_RUN
--- a/railtide/requests/execution.py
+++ b/railtide/requests/execution.py
@@ -11,7 +11,7 @@
 from railtide.budgets.messages import Waste
 from railtide.containment.crash_detection import UpstreamAttempt
 from railtide.containment.errors import ContentHeld
-from railtide.errors import RailtideError, Run
+from railtide.errors import ExecutionStatus, RailtideError
 from railtide.journal.entries import Verdict, VerdictCode
 from railtide.journal.writer import Submission
 from railtide.lanes.scheduler import PoolScheduler, Slot, WaitingRequest
@@ -162,7 +162,7 @@
         try:
             return await self._send_until_answered()
         except RailtideError as err:
-            if self._may_have_run and err.run is Run.NOT_RUN:
+            if self._may_have_run and err.run is ExecutionStatus.NOT_RUN:
                 raise UpstreamLost("an earlier attempt of this request may have run") from err
             raise
 
--- a/railtide/router/errors.py
+++ b/railtide/router/errors.py
@@ -1,6 +1,6 @@
 """Errors of the router itself. Each is raised before anything ran."""
 
-from railtide.errors import RailtideError, Run
+from railtide.errors import ExecutionStatus, RailtideError
 
 __all__ = ["BacklogFull", "Draining", "NotReady", "RouterError"]
 
@@ -10,7 +10,7 @@
 
     code = "router-error"
     status = 503
-    run = Run.NOT_RUN
+    run = ExecutionStatus.NOT_RUN
 
 
 class Draining(RouterError):
--- a/railtide/router/tests/test_requests.py
+++ b/railtide/router/tests/test_requests.py
@@ -7,7 +7,7 @@
 
 from railtide.configuration.directory import Directory
 from railtide.configuration.models import key_hash
-from railtide.errors import RailtideError, Run
+from railtide.errors import ExecutionStatus, RailtideError
 from railtide.lanes.queue import Urgency
 from railtide.router.options import RouterOptions
 from railtide.router.requests import HttpRequest, call_of
@@ -100,4 +100,4 @@
     ) -> None:
         with pytest.raises(RailtideError) as refused:
             call_of(request_, directory, OPTIONS)
-        assert (refused.value.code, refused.value.run) == (code, Run.NOT_RUN)
+        assert (refused.value.code, refused.value.run) == (code, ExecutionStatus.NOT_RUN)
--- a/railtide/upstreams/errors.py
+++ b/railtide/upstreams/errors.py
@@ -1,6 +1,6 @@
 """Errors of calls to upstreams."""
 
-from railtide.errors import RailtideError, Run
+from railtide.errors import ExecutionStatus, RailtideError
 
 __all__ = [
     "AnswerMismatch",
@@ -26,7 +26,7 @@
 
     code = "upstream-refused"
     status = 503
-    run = Run.NOT_RUN
+    run = ExecutionStatus.NOT_RUN
 
 
 class UpstreamNotListening(UpstreamRefused):
@@ -43,7 +43,7 @@
     """The call was sent, at least in part, and no complete answer came back."""
 
     code = "upstream-lost"
-    run = Run.UNKNOWN
+    run = ExecutionStatus.UNKNOWN
 
 
 class UpstreamDisconnected(UpstreamLost):
--- a/tests/matrix/checks.py
+++ b/tests/matrix/checks.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from railtide.budgets.balance import available, stranded
-from railtide.errors import Run
+from railtide.errors import ExecutionStatus
 from railtide.journal.entries import VerdictCode, batch_from_bytes
 from railtide.journal.fold import fold
 from railtide.journal.state import State
@@ -169,7 +169,7 @@
 def check_not_run_is_true(world: World) -> None:
     ran = true_costs(world)
     for attempt in world.attempts:
-        if attempt.error and attempt.error.run is Run.NOT_RUN and attempt.call:
+        if attempt.error and attempt.error.run is ExecutionStatus.NOT_RUN and attempt.call:
             said = f"{attempt.marker} ran, but {attempt.error.code} said not-run"
             assert not [r for r in ran if r.startswith(attempt.call.request_id)], said
 
--- a/tests/matrix/scenario.py
+++ b/tests/matrix/scenario.py
@@ -6,7 +6,7 @@
 import trio
 import trio.lowlevel
 
-from railtide.errors import RailtideError, Run
+from railtide.errors import ExecutionStatus, RailtideError
 from railtide.router.requests import HttpRequest
 from railtide.standins.faults import Fault, FaultKind
 from tests.matrix.world import TEMPLATE, Operator, World, booking, chat
@@ -147,7 +147,7 @@
     if error is None:
         return False
     return error.code in ("outcome-unknown", "answer-gone", "budget-exhausted") or (
-        error.run is Run.RAN
+        error.run is ExecutionStatus.RAN
     )
 
 
--- a/tests/matrix/test_single.py
+++ b/tests/matrix/test_single.py
@@ -6,7 +6,7 @@
 import trio.lowlevel
 from trio.testing import MockClock
 
-from railtide.errors import Run
+from railtide.errors import ExecutionStatus
 from railtide.standins.faults import Fault, FaultKind
 from tests.matrix.checks import check_all, read_ledger, true_costs
 from tests.matrix.schedule import fix_schedule
@@ -66,7 +66,7 @@
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._refuse_soon, world)
                 attempt = await ask(world, "m")
-            assert attempt.error.run is Run.UNKNOWN
+            assert attempt.error.run is ExecutionStatus.UNKNOWN
 
         in_world(work)
 
@@ -109,7 +109,10 @@
             began = trio.current_time()
             attempt = await world.attempt("i1", "bortolini", "hole", request)
             assert trio.current_time() - began < 0.1, "it was not refused at once"
-            assert (attempt.error.code, attempt.error.run) == ("claim-unavailable", Run.NOT_RUN)
+            assert (attempt.error.code, attempt.error.run) == (
+                "claim-unavailable",
+                ExecutionStatus.NOT_RUN,
+            )
             assert not [s for s in world.platform.starts if s[2] == attempt.call.request_id]
 
         in_world(work)
@@ -139,7 +142,7 @@
     def test_answer_is_withheld_once_the_key_ran_elsewhere(self) -> None:
         async def work(world: World, attempt: Attempt) -> None:
             assert not attempt.answered
-            assert attempt.error.run is Run.UNKNOWN
+            assert attempt.error.run is ExecutionStatus.UNKNOWN
             again = world.attempts[-1]
             assert again.answered
             balance = read_ledger(world).state.by_account["bortolini"]
@@ -204,7 +207,7 @@
             attempts = [await ask(world, f"m{n}") for n in range(8)]
             refused = [a for a in attempts if not a.answered]
             assert len(refused) < len(attempts)
-            assert refused and all(a.error.run is Run.NOT_RUN for a in refused)
+            assert refused and all(a.error.run is ExecutionStatus.NOT_RUN for a in refused)
 
         in_world(work, template=TEMPLATE | {"grant_min": 400})
 
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -196,7 +196,7 @@
     Mutant(
         "not-run-after-a-lost-try",
         "requests/execution.py",
-        "if self._may_have_run and err.run is Run.NOT_RUN:",
+        "if self._may_have_run and err.run is ExecutionStatus.NOT_RUN:",
         "if False:",
         (SINGLE,),
     ),
@@ -1368,15 +1368,15 @@
     Mutant(
         "unknown-route-is-final-by-any-view",
         "requests/errors.py",
-        "status = 404\n    run = Run.NOT_RUN\n    rests_on_configuration = True",
-        "status = 404\n    run = Run.NOT_RUN",
+        "status = 404\n    run = ExecutionStatus.NOT_RUN\n    rests_on_configuration = True",
+        "status = 404\n    run = ExecutionStatus.NOT_RUN",
         (OUTDATED,),
     ),
     Mutant(
         "unknown-key-is-final-by-any-view",
         "requests/errors.py",
-        "status = 401\n    run = Run.NOT_RUN\n    rests_on_configuration = True",
-        "status = 401\n    run = Run.NOT_RUN",
+        "status = 401\n    run = ExecutionStatus.NOT_RUN\n    rests_on_configuration = True",
+        "status = 401\n    run = ExecutionStatus.NOT_RUN",
         (OUTDATED,),
     ),
     Mutant(
@@ -1389,8 +1389,8 @@
     Mutant(
         "forbidden-name-is-final-by-any-view",
         "requests/errors.py",
-        "status = 403\n    run = Run.NOT_RUN\n    rests_on_configuration = True",
-        "status = 403\n    run = Run.NOT_RUN",
+        "status = 403\n    run = ExecutionStatus.NOT_RUN\n    rests_on_configuration = True",
+        "status = 403\n    run = ExecutionStatus.NOT_RUN",
         (EDGE,),
     ),
     Mutant(
