--- a/railtide/budgets/errors.py
+++ b/railtide/budgets/errors.py
@@ -18,7 +18,7 @@
 
     code = "budget-exhausted"
     status = 402
-    rests_on_configuration = True
+    depends_on_configuration = True
 
 
 class BudgetUnavailable(BudgetError):
--- a/railtide/edge/node.py
+++ b/railtide/edge/node.py
@@ -315,7 +315,7 @@
 
     def refusal_for_caller(self, refusal: RailtideError) -> RailtideError:
         """Return a refusal as it is, or as possibly due to an outdated configuration."""
-        if not refusal.rests_on_configuration or self.configuration_is_current():
+        if not refusal.depends_on_configuration or self.configuration_is_current():
             return refusal
         return self._freshness.outdated(refusal, self._version_in_force())
 
--- a/railtide/edge/tests/test_freshness.py
+++ b/railtide/edge/tests/test_freshness.py
@@ -303,5 +303,5 @@
         kinds = [RailtideError]
         for kind in kinds:
             kinds += kind.__subclasses__()
-        codes = {kind.code for kind in kinds if kind.rests_on_configuration}
+        codes = {kind.code for kind in kinds if kind.depends_on_configuration}
         assert codes == {"unknown-route", "unauthorized", "not-allowed", "budget-exhausted"}
--- a/railtide/errors.py
+++ b/railtide/errors.py
@@ -36,13 +36,13 @@
     Notes
     -----
     `code` is stable and documented in ``docs/OPERATORS.md``; `status` is the HTTP status.
-    `rests_on_configuration` says that another version of the configuration may allow the request.
+    `depends_on_configuration` says that another version of the configuration may allow the request.
     """
 
     code = "internal-error"
     status = 500
     run = ExecutionStatus.UNKNOWN
-    rests_on_configuration = False
+    depends_on_configuration = False
 
     def __init__(self, detail: str = "", *, retry_after: float | None = None) -> None:
         super().__init__(detail or self.code)
--- a/railtide/requests/errors.py
+++ b/railtide/requests/errors.py
@@ -40,7 +40,7 @@
     code = "unauthorized"
     status = 401
     run = ExecutionStatus.NOT_RUN
-    rests_on_configuration = True
+    depends_on_configuration = True
 
 
 class UnknownRoute(RequestError):
@@ -49,7 +49,7 @@
     code = "unknown-route"
     status = 404
     run = ExecutionStatus.NOT_RUN
-    rests_on_configuration = True
+    depends_on_configuration = True
 
 
 class NotAllowed(RequestError):
@@ -58,7 +58,7 @@
     code = "not-allowed"
     status = 403
     run = ExecutionStatus.NOT_RUN
-    rests_on_configuration = True
+    depends_on_configuration = True
 
 
 class KeyRequired(RequestError):
