--- a/railtide/http/server.py
+++ b/railtide/http/server.py
@@ -56,7 +56,7 @@
     body_bytes: int = 4_194_304
     head_timeout_s: float = 5.0
     idle_timeout_s: float = 30.0
-    doubt_s: Callable[[], float | None] = lambda: None
+    retry_after_s: Callable[[], float | None] = lambda: None
 
 
 class Responder(ABC):
@@ -239,11 +239,11 @@
         if self.h11.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
         responder = _H11Responder(self)
-        doubt_s = self.server.limits.doubt_s() if refused.by_limit else None
-        if doubt_s is None:
+        retry_after_s = self.server.limits.retry_after_s() if refused.by_limit else None
+        if retry_after_s is None:
             await responder.answer(refused.status, (CLOSE,))
         else:
-            again = (b"retry-after", f"{doubt_s:.2f}".encode())
+            again = (b"retry-after", f"{retry_after_s:.2f}".encode())
             await responder.answer(UNAVAILABLE, (CLOSE, again))
 
     # -- answering ----------------------------------------------------------------------------
--- a/railtide/http/tests/test_connections.py
+++ b/railtide/http/tests/test_connections.py
@@ -355,7 +355,7 @@
             await responder.answer(200, ())
 
         doubts: list[float | None] = [0.25, 0.25, None, None]
-        limits = ConnectionLimits(500, 10, doubt_s=lambda: doubts.pop(0))
+        limits = ConnectionLimits(500, 10, retry_after_s=lambda: doubts.pop(0))
         big = HttpRequest(b"POST", b"/", ((b"host", b"x"),), b"x" * 11)
         long = HttpRequest(b"GET", b"/" + b"x" * 900, ((b"host", b"x"),))
         async with server(handler, limits) as made:
@@ -372,7 +372,7 @@
         async def handler(request: HttpRequest, responder: Responder) -> None:
             await responder.answer(200, ())
 
-        async with server(handler, ConnectionLimits(doubt_s=lambda: 0.25)) as made:
+        async with server(handler, ConnectionLimits(retry_after_s=lambda: 0.25)) as made:
             stream = await trio.open_tcp_stream("127.0.0.1", made.port)
             await stream.send_all(b"no request\r\n\r\n")
             with trio.fail_after(5):
--- a/railtide/platform/program.py
+++ b/railtide/platform/program.py
@@ -116,7 +116,7 @@
     clocks = kernel_clocks()
     node = EdgeNode(identity, store, PlatformSources(), upstreams, options, rng, clocks)
     upstreams.on_notice = node.apply_notice
-    limits = ConnectionLimits(doubt_s=node.limits_retry_after_s)
+    limits = ConnectionLimits(retry_after_s=node.limits_retry_after_s)
     observe("store_era", "1", lambda: float(NO_ERA if store.era is None else store.era))
     observe_each("read_age", "s", "topic", node.read_ages_s)
     node.on_snapshot = partial(_apply_limits, limits)
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -1480,15 +1480,15 @@
     Mutant(
         "limit-that-may-be-old-refuses-for-good",
         "http/server.py",
-        "self.server.limits.doubt_s() if refused.by_limit else None",
+        "self.server.limits.retry_after_s() if refused.by_limit else None",
         "None",
         (HTTP,),
     ),
     Mutant(
         "unreadable-request-may-come-again",
         "http/server.py",
-        "self.server.limits.doubt_s() if refused.by_limit else None",
-        "self.server.limits.doubt_s()",
+        "self.server.limits.retry_after_s() if refused.by_limit else None",
+        "self.server.limits.retry_after_s()",
         (HTTP,),
     ),
     Mutant(
@@ -1508,7 +1508,7 @@
     Mutant(
         "limits-are-never-doubted",
         "platform/program.py",
-        "ConnectionLimits(doubt_s=node.limits_retry_after_s)",
+        "ConnectionLimits(retry_after_s=node.limits_retry_after_s)",
         "ConnectionLimits()",
         ("tests/test_edge_process.py",),
     ),
