--- a/railtide/clocks.py
+++ b/railtide/clocks.py
@@ -12,7 +12,7 @@
 
 __all__ = ["BootTimeClock", "Suspensions", "boot_time_s", "steady_s"]
 
-MOST_SLEEP_S = 0.5
+MAX_SLEEP_S = 0.5
 """Longest wait of the event loop. The kernel counts its waits in the steady clock, so a wait that a
 suspension cut in two would end that much late. An idle process takes 0.4 ms of processor time a
 second for it (7.8 ms in 20 s, 0.5 ms without, one run each)."""
@@ -51,11 +51,11 @@
         return self._read()
 
     def deadline_to_sleep_time(self, deadline: float) -> float:
-        """Return how long to wait for a deadline, at most `MOST_SLEEP_S` at once."""
-        return min(deadline - self._read(), MOST_SLEEP_S)
+        """Return how long to wait for a deadline, at most `MAX_SLEEP_S` at once."""
+        return min(deadline - self._read(), MAX_SLEEP_S)
 
 
-class Suspensions:
+class SuspensionDetector:
     """Notices that the machine was suspended.
 
     Parameters
@@ -82,7 +82,7 @@
         self._steady = steady
         self._apart_s = self._read_apart()
 
-    def look(self) -> float:
+    def poll(self) -> float:
         """Return the seconds for which the machine was suspended since the last look."""
         apart_s = self._read_apart()
         suspended_s = apart_s - self._apart_s
--- a/railtide/edge/node.py
+++ b/railtide/edge/node.py
@@ -9,7 +9,7 @@
 
 from railtide.budgets.ledger_budget_source import LedgerBudgetSource
 from railtide.budgets.spend_limit import Clocks
-from railtide.clocks import Suspensions
+from railtide.clocks import SuspensionDetector
 from railtide.configuration.errors import InvalidObject
 from railtide.configuration.snapshot import Snapshot
 from railtide.containment.crash_detection import BrokenAttempt, CrashDetector
@@ -91,7 +91,7 @@
         options: EdgeOptions,
         rng: Random,
         clocks: Clocks | None = None,
-        suspensions: Suspensions | None = None,
+        suspensions: SuspensionDetector | None = None,
     ) -> None:
         self.identity = identity
         self.options = options
@@ -176,7 +176,7 @@
         )
         self._crash_registry.on_crash = self._pools.eject_incarnation
         self._wake_handler = WakeHandler(
-            suspensions or Suspensions(),
+            suspensions or SuspensionDetector(),
             [
                 self._configuration_feed.refresh,
                 self._upstream_feed.refresh,
--- a/railtide/edge/wake_handler.py
+++ b/railtide/edge/wake_handler.py
@@ -5,7 +5,7 @@
 import trio
 from loguru import logger
 
-from railtide.clocks import Suspensions
+from railtide.clocks import SuspensionDetector
 
 __all__ = ["WakeHandler"]
 
@@ -28,7 +28,7 @@
 
     def __init__(
         self,
-        suspensions: Suspensions,
+        suspensions: SuspensionDetector,
         refreshes: Sequence[Callable[[], trio.Event]],
         on_woken: Callable[[], None],
     ) -> None:
@@ -40,7 +40,7 @@
 
     def check(self) -> None:
         """Start the rereads if the machine was suspended since the last call, and log it."""
-        suspended_s = self._suspensions.look()
+        suspended_s = self._suspensions.poll()
         if not suspended_s:
             return
         logger.bind(for_s=round(suspended_s, 3)).warning("woken")
--- a/railtide/platform/tests/test_outdated_view.py
+++ b/railtide/platform/tests/test_outdated_view.py
@@ -11,7 +11,7 @@
 import pytest
 import trio
 
-from railtide.clocks import Suspensions
+from railtide.clocks import SuspensionDetector
 from railtide.edge import freshness
 from railtide.edge.wake_handler import MAX_REREAD_WAIT_S
 from railtide.http.client import Exchange
@@ -363,7 +363,7 @@
             assert (await w.ask("/nowhere/x")).status == 404
 
     async def test_without_one_the_view_stays_current(self) -> None:
-        async with world(suspensions=Suspensions()) as w:
+        async with world(suspensions=SuspensionDetector()) as w:
             assert (await w.ask("/nowhere/x")).status == 404
 
 
--- a/railtide/platform/tests/test_waking.py
+++ b/railtide/platform/tests/test_waking.py
@@ -8,7 +8,7 @@
 import pytest
 import trio
 
-from railtide.clocks import Suspensions
+from railtide.clocks import SuspensionDetector
 from railtide.containment.registry import CrashRegistry
 from railtide.edge.node import OBSERVATIONS_WAIT_S
 from railtide.platform.tests.test_whole_path import World, desired_state, world
@@ -22,7 +22,7 @@
 
     def __init__(self) -> None:
         self.suspended_s = 0.0
-        self.suspensions = Suspensions(lambda: 1000.0 + self.suspended_s, lambda: 1000.0)
+        self.suspensions = SuspensionDetector(lambda: 1000.0 + self.suspended_s, lambda: 1000.0)
 
 
 def write_unheard(w: World, topic: str, key: str, value: bytes) -> None:
--- a/railtide/platform/tests/test_whole_path.py
+++ b/railtide/platform/tests/test_whole_path.py
@@ -9,7 +9,7 @@
 import pytest
 import trio
 
-from railtide.clocks import Suspensions
+from railtide.clocks import SuspensionDetector
 from railtide.edge.node import EdgeNode
 from railtide.edge.options import EdgeOptions
 from railtide.http.client import Exchange, PeerPool
@@ -120,7 +120,7 @@
 @asynccontextmanager
 async def world(
     state: bytes | None = None,
-    suspensions: Suspensions | None = None,
+    suspensions: SuspensionDetector | None = None,
     link: NarrowLink | None = None,
     store: MemoryStore | None = None,
     instance: str = "i1",
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -1118,7 +1118,7 @@
     Mutant(
         "wait-outlasts-a-suspension",
         "clocks.py",
-        "return min(deadline - self._read(), MOST_SLEEP_S)",
+        "return min(deadline - self._read(), MAX_SLEEP_S)",
         "return deadline - self._read()",
         (SUSPENSION,),
     ),
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -18,7 +18,7 @@
 
 from railtide import clocks, process
 from railtide.budgets.spend_limit import elapsed_s
-from railtide.clocks import MOST_SLEEP_S, BootTimeClock, Suspensions
+from railtide.clocks import MAX_SLEEP_S, BootTimeClock, SuspensionDetector
 from railtide.platform import program
 
 REPORTED_S = 2.0
@@ -104,7 +104,7 @@
             await trio.sleep(5)
             return real_time.monotonic() - began
 
-        assert trio.run(scenario, clock=BootTimeClock(read)) <= 4 * MOST_SLEEP_S
+        assert trio.run(scenario, clock=BootTimeClock(read)) <= 4 * MAX_SLEEP_S
 
     def test_ages_count_the_suspension(self) -> None:
         asleep_s = 0.0
@@ -130,15 +130,15 @@
 class TestSuspensions:
     def test_freeze_is_none(self) -> None:
         now_s = 100.0
-        suspensions = Suspensions(lambda: now_s, lambda: now_s - 40.0)
+        suspensions = SuspensionDetector(lambda: now_s, lambda: now_s - 40.0)
         now_s += 30.0
-        assert suspensions.look() == 0.0
+        assert suspensions.poll() == 0.0
 
     def test_each_one_is_told_once(self) -> None:
         machine = Machine()
-        suspensions = Suspensions(lambda: machine.since_boot_s, machine.monotonic)
+        suspensions = SuspensionDetector(lambda: machine.since_boot_s, machine.monotonic)
         machine.suspend(3.0)
-        assert (suspensions.look(), suspensions.look()) == (3.0, 0.0)
+        assert (suspensions.poll(), suspensions.poll()) == (3.0, 0.0)
         machine.go_on(5.0)
         machine.suspend(0.5)
-        assert suspensions.look() == 0.5
+        assert suspensions.poll() == 0.5
