--- a/railtide/http/stall.py
+++ b/railtide/http/stall.py
@@ -9,7 +9,7 @@
 
 __all__ = ["LEAST_BYTES", "StallWatch"]
 
-LEAST_BYTES = 4_096
+MIN_BYTES = 4_096
 """Bytes that an answer must bring within the bound on silence. At one second this is a 150th of a
 link of 5 Mbit/s, and more than three lost segments in a row leave; a peer that sends less counts as
 silent, so that a trickle holds nobody for ever."""
@@ -27,7 +27,7 @@
     head_s : float
         Seconds from the last bytes that were sent to the first byte of the answer.
     stall_s : float
-        Seconds within which an answer that has begun brings `least_bytes` more, or ends.
+        Seconds within which an answer that has begun brings `min_bytes` more, or ends.
     least_bytes : int, optional
 
     Attributes
@@ -49,12 +49,12 @@
     4
     """
 
-    def __init__(self, head_s: float, stall_s: float, least_bytes: int = LEAST_BYTES) -> None:
+    def __init__(self, head_s: float, stall_s: float, min_bytes: int = MIN_BYTES) -> None:
         self.received = 0
         self.took_s = 0.0
         self._head_s = head_s
         self._stall_s = stall_s
-        self._least_bytes = least_bytes
+        self._min_bytes = min_bytes
         self._portion = 0
         self._sent_at = 0.0
         self._due = math.inf
@@ -107,11 +107,11 @@
             self.took_s = trio.current_time() - self._sent_at
         self.received += count
         self._portion += count
-        if first or self._portion >= self._least_bytes:
+        if first or self._portion >= self._min_bytes:
             self._portion = 0
             self._set_due(trio.current_time() + self._stall_s)
 
-    def hurry(self, head_s: float) -> None:
+    def limit_head_wait(self, head_s: float) -> None:
         """Wait for the answer's first byte no longer than this from the last bytes sent on."""
         if not self.begun:
             self._set_due(min(self._due, self._sent_at + head_s))
--- a/railtide/http/tests/test_stall.py
+++ b/railtide/http/tests/test_stall.py
@@ -28,15 +28,15 @@
         with pytest.raises(Stalled):
             with StallWatch(head_s=8.0, stall_s=1.0) as watch:
                 await trio.sleep(0.5)
-                watch.hurry(2.0)
-                watch.hurry(5.0)
+                watch.limit_head_wait(2.0)
+                watch.limit_head_wait(5.0)
                 await trio.sleep_forever()
         assert trio.current_time() - began == pytest.approx(2.0)
 
 
 class TestBody:
     async def test_size_and_time_of_the_whole_have_no_bound(self, autojump_clock) -> None:
-        with StallWatch(head_s=1.0, stall_s=1.0, least_bytes=1000) as watch:
+        with StallWatch(head_s=1.0, stall_s=1.0, min_bytes=1000) as watch:
             for _ in range(1000):
                 await trio.sleep(0.9)
                 watch.note_received(1000)
@@ -53,7 +53,7 @@
     async def test_one_that_only_trickles_is_given_up(self, autojump_clock) -> None:
         began = trio.current_time()
         with pytest.raises(Stalled):
-            with StallWatch(head_s=1.0, stall_s=1.0, least_bytes=1000) as watch:
+            with StallWatch(head_s=1.0, stall_s=1.0, min_bytes=1000) as watch:
                 while True:
                     watch.note_received(1)
                     await trio.sleep(0.01)
@@ -62,7 +62,7 @@
     async def test_one_that_has_begun_is_not_hurried(self, autojump_clock) -> None:
         with StallWatch(head_s=8.0, stall_s=1.0) as watch:
             watch.note_received(1)
-            watch.hurry(0.0)
+            watch.limit_head_wait(0.0)
             await trio.sleep(0.9)
 
     async def test_one_whose_request_still_goes_out_is_hurried_from_there_on(
@@ -73,7 +73,7 @@
             with StallWatch(head_s=8.0, stall_s=1.0) as watch:
                 await trio.sleep(3.0)
                 watch.note_sent()
-                watch.hurry(1.0)
+                watch.limit_head_wait(1.0)
                 await trio.sleep_forever()
         assert trio.current_time() - began == pytest.approx(4.0)
 
--- a/railtide/journal/response_timeouts.py
+++ b/railtide/journal/response_timeouts.py
@@ -116,5 +116,5 @@
         now = trio.current_time()
         if now - self._answered_at > self._usual_s:
             for watch, usual_s in self._usual_by_watch.items():
-                watch.hurry(usual_s + needed_s - self._usual_s)
+                watch.limit_head_wait(usual_s + needed_s - self._usual_s)
         self._answered_at = now
--- a/railtide/journal/tests/test_response_timeouts.py
+++ b/railtide/journal/tests/test_response_timeouts.py
@@ -22,7 +22,7 @@
 
     head_s = math.inf
 
-    def hurry(self, head_s: float) -> None:
+    def limit_head_wait(self, head_s: float) -> None:
         self.head_s = min(self.head_s, head_s)
 
 
--- a/railtide/platform/store.py
+++ b/railtide/platform/store.py
@@ -13,7 +13,7 @@
 from railtide.http.client import PeerPool
 from railtide.http.errors import HttpError, Stalled
 from railtide.http.messages import HttpRequest
-from railtide.http.stall import LEAST_BYTES, StallWatch
+from railtide.http.stall import MIN_BYTES, StallWatch
 from railtide.journal.backoff import Backoff
 from railtide.journal.eras import EraTracker
 from railtide.journal.errors import EraRisen, LogUnavailable, RecordsExpired
@@ -404,7 +404,7 @@
         self._counters.add("store_bytes_discarded", watch.received)
         if isinstance(err, Stalled):
             self._pool.drop_idle()
-            if watch.received < LEAST_BYTES:
+            if watch.received < MIN_BYTES:
                 self._timeouts.note_timeout(operation.timeout_key)
 
     async def _exchange(
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -1515,14 +1515,14 @@
     Mutant(
         "answer-is-bounded-as-a-whole",
         "http/stall.py",
-        "if first or self._portion >= self._least_bytes:",
+        "if first or self._portion >= self._min_bytes:",
         "if first:",
         (f"{LARGE}::TestLargeState",),
     ),
     Mutant(
         "trickle-holds-a-read",
         "http/stall.py",
-        "if first or self._portion >= self._least_bytes:",
+        "if first or self._portion >= self._min_bytes:",
         "if True:",
         (f"{NARROW}::TestTrickle",),
     ),
@@ -1770,15 +1770,15 @@
     Mutant(
         "call-of-before-a-return-keeps-its-long-wait",
         "journal/response_timeouts.py",
-        "                watch.hurry(usual_s + needed_s - self._usual_s)\n",
+        "                watch.limit_head_wait(usual_s + needed_s - self._usual_s)\n",
         "                pass\n",
         (PATIENCE, f"{NARROW}::TestSlowStore::{CALL_OF_BEFORE}"),
     ),
     Mutant(
         "held-read-is-given-up-behind-a-return",
         "journal/response_timeouts.py",
-        "watch.hurry(usual_s + needed_s - self._usual_s)",
-        "watch.hurry(needed_s)",
+        "watch.limit_head_wait(usual_s + needed_s - self._usual_s)",
+        "watch.limit_head_wait(needed_s)",
         (PATIENCE,),
     ),
     Mutant(
