--- a/railtide/clocks.py
+++ b/railtide/clocks.py
@@ -10,7 +10,7 @@
 
 import trio
 
-__all__ = ["BootTimeClock", "Suspensions", "boot_time_s", "steady_s"]
+__all__ = ["BootTimeClock", "SuspensionDetector", "boot_time_s", "steady_s"]
 
 MAX_SLEEP_S = 0.5
 """Longest wait of the event loop. The kernel counts its waits in the steady clock, so a wait that a
--- a/railtide/demo/program.py
+++ b/railtide/demo/program.py
@@ -9,7 +9,7 @@
 from railtide.demo.deployment import Account, Deployment, Plan, start_deployment
 from railtide.demo.report import lines_of, table_of
 from railtide.demo.workload import Caller, Seen, run_callers
-from railtide.settings import checked, run_program
+from railtide.settings import run_program, validate_settings
 from railtide.standins.faults import Fault, FaultKind
 from railtide.telemetry.logs import set_up_logs
 
@@ -78,7 +78,7 @@
     :param outage: let the log fail in the middle
     :param log_level: least level of log lines
     """
-    settings = checked(DemoSettings, seconds=seconds)
+    settings = validate_settings(DemoSettings, seconds=seconds)
     set_up_logs("railtide-demo", log_level)
     for plan, callers in ((BORTOLINI, BORTOLINI_CALLERS), (PANTRY, PANTRY_CALLERS)):
         trio.run(_run_plan, plan, callers, settings.seconds, outage)
--- a/railtide/errors.py
+++ b/railtide/errors.py
@@ -2,7 +2,7 @@
 
 from enum import StrEnum
 
-__all__ = ["RailtideError", "Run"]
+__all__ = ["ExecutionStatus", "RailtideError"]
 
 
 class ExecutionStatus(StrEnum):
--- a/railtide/http/stall.py
+++ b/railtide/http/stall.py
@@ -7,7 +7,7 @@
 
 from railtide.http.errors import Stalled
 
-__all__ = ["LEAST_BYTES", "StallWatch"]
+__all__ = ["MIN_BYTES", "StallWatch"]
 
 MIN_BYTES = 4_096
 """Bytes that an answer must bring within the bound on silence. At one second this is a 150th of a
--- a/railtide/keeper/program.py
+++ b/railtide/keeper/program.py
@@ -14,7 +14,7 @@
 from railtide.membership.identity import Identity
 from railtide.process import announce, new_incarnation, new_rng, relax_gc, wait_for_stop
 from railtide.serving import Bind, bind_socket, serve_http
-from railtide.settings import checked, endpoint, run_program
+from railtide.settings import parse_endpoint, run_program, validate_settings
 from railtide.telemetry.logs import set_up_logs
 from railtide.telemetry.meters import observe, set_up_meters
 from railtide.telemetry.spans import set_up_spans
@@ -73,7 +73,7 @@
     :param list_interval_s: time between two looks at the instance list, seconds
     :param log_level: least level of log lines
     """
-    settings = checked(
+    settings = validate_settings(
         KeeperSettings,
         instance=instance,
         failure_domain=failure_domain,
@@ -86,8 +86,8 @@
         checkpoint_every=checkpoint_every,
         list_interval_s=list_interval_s,
     )
-    link = bind_socket(*endpoint(bind))
-    http = bind_socket(*endpoint(http_bind))
+    link = bind_socket(*parse_endpoint(bind))
+    http = bind_socket(*parse_endpoint(http_bind))
     set_up_logs(f"keeper/{instance}", log_level)
     trio.run(_run, settings, link, http)
 
--- a/railtide/platform/contents.py
+++ b/railtide/platform/contents.py
@@ -9,7 +9,7 @@
 from railtide.containment.admin import content_states
 from railtide.containment.admin import lift as lift_content
 from railtide.platform.store import PlatformStore
-from railtide.settings import endpoint, run_program
+from railtide.settings import parse_endpoint, run_program
 from railtide.telemetry.counters import Counters
 from railtide.telemetry.logs import set_up_logs
 
@@ -40,7 +40,7 @@
 
 def _with_store(address: str, act: Callable[[PlatformStore], Awaitable[object]]) -> object:
     """Return the result of a coroutine function that is called with the store's client."""
-    endpoint(address)
+    parse_endpoint(address)
 
     async def run() -> object:
         return await act(PlatformStore(address, Counters()))
--- a/railtide/platform/program.py
+++ b/railtide/platform/program.py
@@ -24,7 +24,7 @@
 from railtide.platform.store import PlatformStore
 from railtide.platform.upstreams import PlatformUpstreams
 from railtide.process import kernel_clocks, new_incarnation, new_rng, relax_gc
-from railtide.settings import InvalidSetting, checked, endpoint, run_program
+from railtide.settings import InvalidSetting, parse_endpoint, run_program, validate_settings
 from railtide.telemetry.counters import Counters
 from railtide.telemetry.lines import LineBuffer, set_up_lines
 from railtide.telemetry.meters import observe, observe_each, set_up_meters
@@ -93,7 +93,7 @@
     :param budget_spread_share: share of the remainder that is allocated to all routers in equal
         parts, 0 to 1
     """
-    settings = checked(
+    settings = validate_settings(
         EdgeSettings,
         metrics_port=metrics_port,
         budget_horizon_s=budget_horizon_s,
@@ -187,7 +187,7 @@
     process of the instance is dead, so that the former one's allocations are released.
     """
     try:
-        return await listen(*endpoint(address))
+        return await listen(*parse_endpoint(address))
     except OSError as err:
         logger.bind(address=address, error=str(err)).error("cannot-listen")
         lines.flush()
@@ -195,7 +195,7 @@
 
 
 async def _serve(server: HttpServer, address: str) -> None:
-    host, port = endpoint(address)
+    host, port = parse_endpoint(address)
     try:
         listener = await listen(host, port)
     except OSError as err:
--- a/railtide/router/program.py
+++ b/railtide/router/program.py
@@ -13,7 +13,7 @@
 from railtide.router.options import RouterOptions
 from railtide.router.router import Router
 from railtide.serving import Bind, bind_socket, serve_http
-from railtide.settings import checked, endpoint, run_program
+from railtide.settings import parse_endpoint, run_program, validate_settings
 from railtide.telemetry.logs import set_up_logs
 from railtide.telemetry.meters import observe, set_up_meters
 from railtide.telemetry.spans import set_up_spans
@@ -74,7 +74,7 @@
     :param trace_ratio: share of requests traced when the caller does not decide, 0 to 1
     :param log_level: least level of log lines
     """
-    settings = checked(
+    settings = validate_settings(
         RouterSettings,
         instance=instance,
         failure_domain=failure_domain,
@@ -86,8 +86,8 @@
         dispatch_window_s=dispatch_window_s,
         trace_ratio=trace_ratio,
     )
-    ends = [endpoint(text.strip()) for text in keepers.split(",")]
-    host, port = endpoint(bind)
+    ends = [parse_endpoint(text.strip()) for text in keepers.split(",")]
+    host, port = parse_endpoint(bind)
     set_up_logs(f"router/{instance}", log_level)
     trio.run(_run, settings, ends, bind_socket(host, port))
 
--- a/railtide/settings.py
+++ b/railtide/settings.py
@@ -14,7 +14,14 @@
 
 from railtide.errors import RailtideError
 
-__all__ = ["EXIT_FAILED", "EXIT_SETTINGS", "InvalidSetting", "checked", "endpoint", "run_program"]
+__all__ = [
+    "EXIT_FAILED",
+    "EXIT_SETTINGS",
+    "InvalidSetting",
+    "parse_endpoint",
+    "run_program",
+    "validate_settings",
+]
 
 EXIT_FAILED = 1
 EXIT_SETTINGS = 2
@@ -29,7 +36,7 @@
     code = "invalid-setting"
 
 
-def checked(model: type[Settings], **values: object) -> Settings:
+def validate_settings(model: type[Settings], **values: object) -> Settings:
     """Return validated settings.
 
     Raises
@@ -45,7 +52,7 @@
         raise InvalidSetting(f"{flag}: {problem['msg']}, not {problem['input']!r}") from err
 
 
-def endpoint(text: str) -> tuple[str, int]:
+def parse_endpoint(text: str) -> tuple[str, int]:
     """Return host and port of ``host:port``.
 
     Raises
@@ -55,7 +62,7 @@
 
     Examples
     --------
-    >>> endpoint("127.0.0.1:80")
+    >>> parse_endpoint("127.0.0.1:80")
     ('127.0.0.1', 80)
     """
     host, _, port = text.rpartition(":")
--- a/railtide/standins/program.py
+++ b/railtide/standins/program.py
@@ -8,7 +8,7 @@
 
 from railtide.process import announce, wait_for_stop
 from railtide.serving import bind_socket, serve_http
-from railtide.settings import endpoint, run_program
+from railtide.settings import parse_endpoint, run_program
 from railtide.standins.engine import Engine, make_engine_app
 from railtide.standins.faults import Faults
 from railtide.standins.instances import InstanceStore, make_instances_app
@@ -66,7 +66,7 @@
 
 
 def _serve(app: QuartTrio, bind: str, work: Callable[[], Awaitable[None]] | None = None) -> None:
-    bound = bind_socket(*endpoint(bind))
+    bound = bind_socket(*parse_endpoint(bind))
 
     async def run() -> None:
         async with trio.open_nursery() as nursery:
