--- a/railtide/telemetry/__init__.py
+++ b/railtide/telemetry/__init__.py
@@ -1,1 +1,1 @@
-"""Telemetry: counters, spans and structured logs."""
+"""Telemetry: counters, histograms, gauges, spans and structured logs."""
--- a/railtide/telemetry/counters.py
+++ b/railtide/telemetry/counters.py
@@ -1,4 +1,4 @@
-"""The counters of a process, as OpenTelemetry instruments that can also be read back."""
+"""Counters of a process, exported through OpenTelemetry and readable in the process."""
 
 from opentelemetry import metrics
 
@@ -8,7 +8,7 @@
 
 
 class Counters:
-    """Named counters; each is an OpenTelemetry counter and a number to read here.
+    """Named counters, each an OpenTelemetry counter together with its current value.
 
     Examples
     --------
@@ -24,7 +24,7 @@
         self._values_by_name: dict[str, int] = {}
 
     def add(self, name: str, amount: int = 1) -> None:
-        """Add to a counter."""
+        """Add to a counter, which is created at its first use."""
         instrument = self._instruments_by_name.get(name)
         if instrument is None:
             instrument = self._meter.create_counter(f"railtide_{name}")
@@ -33,9 +33,9 @@
         self._values_by_name[name] = self._values_by_name.get(name, 0) + amount
 
     def value(self, name: str) -> int:
-        """Return a counter's value, 0 for one never counted."""
+        """Return the value of a counter, 0 if it was never used."""
         return self._values_by_name.get(name, 0)
 
     def values_by_name(self) -> dict[str, int]:
-        """Return all counters."""
+        """Return the values of all counters, sorted by name."""
         return dict(sorted(self._values_by_name.items()))
--- a/railtide/telemetry/latency.py
+++ b/railtide/telemetry/latency.py
@@ -6,16 +6,16 @@
 
 METER = "railtide"
 BOUNDS_S = (0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.6, 1.0, 2.0, 4.0, 8.0, 16.0)
-"""Bounds of the buckets, seconds: from a call of the store to the longest stream."""
+"""Bucket boundaries, seconds: they range from a call to the store to the longest stream."""
 
 
 class Latency:
-    """One histogram with attributes.
+    """A latency histogram with attributes.
 
     Parameters
     ----------
     name : str
-        Without the prefix and the unit.
+        Name of the metric without prefix and unit.
 
     Examples
     --------
@@ -28,5 +28,5 @@
         )
 
     def record(self, seconds: float, **attributes: str) -> None:
-        """Count a duration."""
+        """Record a duration, seconds."""
         self._histogram.record(seconds, attributes)
--- a/railtide/telemetry/lines.py
+++ b/railtide/telemetry/lines.py
@@ -1,8 +1,8 @@
-"""Log lines on standard output: one JSON object each, bounded in number, never blocking.
+"""Log lines on standard output as JSON objects, limited in rate and written without blocking.
 
-Lines wait in a bounded buffer and a task writes them to a descriptor that never blocks. Above a
-rate, or with a reader that does not read, lines are left out and counted; the count is a line
-itself, so that a gap is never silent.
+Lines are kept in a bounded buffer, from which a task writes them to a non-blocking descriptor.
+Above a rate, or if the reader is too slow, lines are dropped. The number of dropped lines is
+logged, so that every gap is visible.
 """
 
 import os
@@ -16,58 +16,69 @@
 
 __all__ = ["LineBuffer", "set_up_lines"]
 
-MOST_LINES = 4_000
-"""Lines kept for a reader that is behind; about 1 MB."""
-LINES_PER_S = 400.0
-"""Above some hundred requests a second a line for each costs more than it tells."""
+MAX_LINES = 4_000
+"""Largest number of lines buffered for a slow reader; about 1 MB."""
+MAX_LINES_PER_S = 400.0
+"""Rate limit of lines. At some hundred requests a second, a line for each costs too much for its
+use."""
 FLUSH_S = 0.1
-"""Time between two writes; a kill loses no more than the lines of this long."""
-ALWAYS = frozenset({"WARNING", "ERROR", "CRITICAL"})
+"""Interval of writes. If the process is killed, the lines of at most this time are lost."""
+UNLIMITED_LEVELS = frozenset({"WARNING", "ERROR", "CRITICAL"})
 
 
 class LineBuffer:
-    """Collects lines and writes them without waiting for the reader.
+    """Buffers lines and writes them without waiting for the reader.
 
     Parameters
     ----------
     descriptor : int
-        Where lines are written; set to never block.
+        File descriptor to write to, which is set to non-blocking; -1 for none.
+    max_lines : int, optional
+        Largest number of buffered lines.
+
+    Attributes
+    ----------
+    dropped : int
+        Number of lines dropped since the last report of it.
 
     Examples
     --------
-    >>> lines = LineBuffer(descriptor=-1, most_lines=1)
-    >>> lines.add(b"a"), lines.add(b"b"), lines.left_out
+    >>> lines = LineBuffer(descriptor=-1, max_lines=1)
+    >>> lines.add(b"a"), lines.add(b"b"), lines.dropped
     (True, False, 1)
     """
 
-    def __init__(self, descriptor: int, most_lines: int = MOST_LINES) -> None:
-        self.left_out = 0
+    def __init__(self, descriptor: int, max_lines: int = MAX_LINES) -> None:
+        self.dropped = 0
         self._descriptor = descriptor
-        self._most_lines = most_lines
+        self._max_lines = max_lines
         self._lines: deque[bytes] = deque()
-        self._allowance = LINES_PER_S
+        self._allowance = MAX_LINES_PER_S
         if descriptor >= 0:
             os.set_blocking(descriptor, False)
 
-    def add(self, line: bytes, always: bool = False) -> bool:
-        """Take a line unless too many wait or came lately; return whether it was taken."""
-        if len(self._lines) >= self._most_lines or (self._allowance < 1 and not always):
-            self.left_out += 1
+    def add(self, line: bytes, is_unlimited: bool = False) -> bool:
+        """Buffer a line unless the buffer is full or the rate is exceeded; return whether it was.
+
+        The rate limit does not apply if `is_unlimited`.
+        """
+        if len(self._lines) >= self._max_lines or (self._allowance < 1 and not is_unlimited):
+            self.dropped += 1
             return False
         self._allowance -= 1
         self._lines.append(line)
         return True
 
     async def run(self) -> None:
-        """Write for ever."""
+        """Write the lines periodically until cancelled."""
         while True:
             await trio.sleep(FLUSH_S)
-            self._allowance = min(LINES_PER_S, self._allowance + LINES_PER_S * FLUSH_S)
-            self._report_gap()
+            self._allowance = min(MAX_LINES_PER_S, self._allowance + MAX_LINES_PER_S * FLUSH_S)
+            self._report_dropped()
             self.flush()
 
     def flush(self) -> None:
-        """Write what the reader takes now, whole lines at a time."""
+        """Write as many lines as the descriptor accepts now."""
         while self._lines:
             data = self._take_lines()
             try:
@@ -79,28 +90,28 @@
                 return
 
     def _take_lines(self) -> bytes:
-        """Return the next lines, as many as a pipe takes whole or not at all, one at the least."""
+        """Remove and return at least one line, and more up to the size of an atomic pipe write."""
         data = self._lines.popleft()
         while self._lines and len(data) + len(self._lines[0]) <= PIPE_BUF:
             data += self._lines.popleft()
         return data
 
-    def _report_gap(self) -> None:
-        if self.left_out and len(self._lines) < self._most_lines:
-            gap = {"level": "WARNING", "event": "lines-left-out", "count": self.left_out}
-            self.left_out = 0
-            self._lines.append(msgspec.json.encode(gap) + b"\n")
+    def _report_dropped(self) -> None:
+        if self.dropped and len(self._lines) < self._max_lines:
+            report = {"level": "WARNING", "event": "lines-left-out", "count": self.dropped}
+            self.dropped = 0
+            self._lines.append(msgspec.json.encode(report) + b"\n")
 
 
 def set_up_lines(service: str, level: str) -> LineBuffer:
-    """Send this process's log lines to standard output; return their buffer, to be run.
+    """Log to standard output and return the buffer, whose `run` must be started.
 
     Parameters
     ----------
     service : str
         Name of this process in its lines.
     level : str
-        Least level that is written.
+        Lowest level that is logged.
     """
     lines = LineBuffer(sys.stdout.fileno())
 
@@ -116,7 +127,7 @@
         if record["exception"]:
             line["exception"] = repr(record["exception"].value)
         data = msgspec.json.encode(line, enc_hook=str) + b"\n"
-        lines.add(data, record["level"].name in ALWAYS)
+        lines.add(data, record["level"].name in UNLIMITED_LEVELS)
 
     logger.remove()
     logger.add(write, level=level, catch=False)
--- a/railtide/telemetry/logs.py
+++ b/railtide/telemetry/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one JSON object a line on standard error, for changes of state only."""
+"""Structured logs on standard error, one JSON object a line; only changes of state are logged."""
 
 import sys
 
@@ -9,14 +9,14 @@
 
 
 def set_up_logs(service: str, level: str = "INFO") -> None:
-    """Send log lines to standard error as JSON.
+    """Log to standard error as JSON.
 
     Parameters
     ----------
     service : str
         Name of this process in its lines.
     level : str
-        Least level that is written.
+        Lowest level that is logged.
     """
 
     def write(message) -> None:
--- a/railtide/telemetry/meters.py
+++ b/railtide/telemetry/meters.py
@@ -1,4 +1,4 @@
-"""Metrics of a process: OpenTelemetry instruments, read at `/metrics` in Prometheus' format."""
+"""Metrics of a process: OpenTelemetry gauges, exported at `/metrics` in Prometheus format."""
 
 from collections.abc import Callable, Iterable, Mapping
 
@@ -21,14 +21,14 @@
 
 
 def observe(name: str, unit: str, read: Callable[[], float]) -> None:
-    """Register a gauge whose value is read when it is asked for."""
+    """Register a gauge whose value is read at each scrape."""
     _add_gauge(name, unit, lambda: [Observation(read())])
 
 
 def observe_each(
     name: str, unit: str, attribute: str, read: Callable[[], Mapping[str, float]]
 ) -> None:
-    """Register a gauge with a value for each value of an attribute, read when it is asked for."""
+    """Register a gauge with one value for each value of an attribute, read at each scrape."""
     _add_gauge(
         name, unit, lambda: [Observation(value, {attribute: key}) for key, value in read().items()]
     )
--- a/railtide/telemetry/pages.py
+++ b/railtide/telemetry/pages.py
@@ -1,4 +1,4 @@
-"""The pages that every server program has: health, readiness, metrics, status, traces."""
+"""HTTP pages of all server programs: health, readiness, metrics, status and traces."""
 
 from collections.abc import Callable
 
@@ -17,7 +17,7 @@
 
 
 def json_response(body: object, status: int = OK) -> Response:
-    """Return a JSON answer."""
+    """Return a JSON response."""
     return Response(msgspec.json.encode(body), status, content_type=JSON)
 
 
@@ -27,17 +27,17 @@
     status: Callable[[], msgspec.Struct],
     spans: SpanStore | None,
 ) -> None:
-    """Add the pages to an application.
+    """Add the common pages to an application.
 
     Parameters
     ----------
     app : QuartTrio
     ready : callable
-        Whether the process takes work.
+        Returns whether the process accepts work.
     status : callable
         Returns the body of `/admin/status`.
     spans : SpanStore, optional
-        Where the process keeps its spans.
+        The spans of the process; without it, the page of a trace is empty.
     """
 
     @app.get("/healthz")
--- a/railtide/telemetry/spans.py
+++ b/railtide/telemetry/spans.py
@@ -1,4 +1,4 @@
-"""Spans: one for each hop, joined by the W3C traceparent."""
+"""Tracing spans, one for each hop of a request, linked by the W3C traceparent."""
 
 from collections import OrderedDict
 from collections.abc import Sequence
@@ -11,31 +11,37 @@
 
 __all__ = ["SpanStore", "set_up_spans"]
 
-MOST_TRACES = 2_000
+MAX_TRACES = 2_000
 
 
 class SpanStore(SpanExporter):
-    """Keeps the spans of the latest traces in memory, for the process's own trace endpoint."""
+    """Keeps the spans of the latest traces in memory, for the trace page of the process.
 
-    def __init__(self, most_traces: int = MOST_TRACES) -> None:
-        self._most_traces = most_traces
+    Parameters
+    ----------
+    max_traces : int, optional
+        Number of traces that are kept.
+    """
+
+    def __init__(self, max_traces: int = MAX_TRACES) -> None:
+        self._max_traces = max_traces
         self._spans_by_trace_id: OrderedDict[str, list[ReadableSpan]] = OrderedDict()
 
     def export(self, spans: Sequence[ReadableSpan]) -> SpanExportResult:
-        """Keep finished spans, dropping the oldest traces beyond the bound."""
+        """Store finished spans and drop the oldest traces above the limit."""
         for span in spans:
             trace_id = trace.format_trace_id(span.context.trace_id)
             self._spans_by_trace_id.setdefault(trace_id, []).append(span)
-            while len(self._spans_by_trace_id) > self._most_traces:
+            while len(self._spans_by_trace_id) > self._max_traces:
                 self._spans_by_trace_id.popitem(last=False)
         return SpanExportResult.SUCCESS
 
     def spans_of(self, trace_id: str) -> list[dict[str, object]]:
-        """Return a trace's spans as plain data, for the JSON of the trace endpoint."""
-        return [_plain(span) for span in self._spans_by_trace_id.get(trace_id, [])]
+        """Return the spans of a trace as dictionaries, for the trace page."""
+        return [_to_dict(span) for span in self._spans_by_trace_id.get(trace_id, [])]
 
 
-def _plain(span: ReadableSpan) -> dict[str, object]:
+def _to_dict(span: ReadableSpan) -> dict[str, object]:
     return {
         "name": span.name,
         "service": span.resource.attributes.get("service.name", ""),
@@ -48,20 +54,20 @@
 
 
 def set_up_spans(service: str, ratio: float) -> SpanStore:
-    """Set the process's tracer provider and return where its spans are kept.
+    """Set the tracer provider of the process and return the store of its spans.
 
     Parameters
     ----------
     service : str
         Name of this process in its spans.
     ratio : float
-        Share of requests traced when the caller's traceparent does not decide.
+        Fraction of requests that are traced if the caller sends no traceparent.
     """
-    store = SpanStore()
+    span_store = SpanStore()
     provider = TracerProvider(
         sampler=ParentBasedTraceIdRatio(ratio),
         resource=Resource.create({"service.name": service}),
     )
-    provider.add_span_processor(SimpleSpanProcessor(store))
+    provider.add_span_processor(SimpleSpanProcessor(span_store))
     trace.set_tracer_provider(provider)
-    return store
+    return span_store
--- a/railtide/telemetry/tests/test_lines.py
+++ b/railtide/telemetry/tests/test_lines.py
@@ -9,50 +9,50 @@
 
 
 @contextmanager
-def pipe() -> Iterator[tuple[int, LineBuffer]]:
-    """Yield the reading end of a pipe and a buffer that writes into the other."""
-    reading, writing = os.pipe()
+def pipe_with_buffer() -> Iterator[tuple[int, LineBuffer]]:
+    """Yield the read end of a pipe and a buffer that writes to its write end."""
+    read_end, write_end = os.pipe()
     try:
-        yield reading, LineBuffer(writing)
+        yield read_end, LineBuffer(write_end)
     finally:
-        os.close(reading)
-        os.close(writing)
+        os.close(read_end)
+        os.close(write_end)
 
 
 class TestFlush:
-    def test_each_write_is_whole_lines_that_a_pipe_takes_at_once(self, monkeypatch) -> None:
+    def test_writes_are_whole_lines_up_to_the_atomic_size_of_a_pipe(self, monkeypatch) -> None:
         written: list[bytes] = []
         write = os.write
 
-        def note(descriptor: int, data: bytes) -> int:
+        def record_write(descriptor: int, data: bytes) -> int:
             written.append(data)
             return write(descriptor, data)
 
         lines = [b"%04d" % number + b"x" * 300 + b"\n" for number in range(60)]
-        with pipe() as (reading, buffer):
+        with pipe_with_buffer() as (read_end, buffer):
             for line in lines:
                 buffer.add(line)
-            monkeypatch.setattr(os, "write", note)
+            monkeypatch.setattr(os, "write", record_write)
             buffer.flush()
-            assert os.read(reading, 100_000) == b"".join(lines)
+            assert os.read(read_end, 100_000) == b"".join(lines)
         assert all(data.endswith(b"\n") and len(data) <= PIPE_BUF for data in written)
         assert len(written) < len(lines) / 10
 
-    def test_lines_that_the_reader_does_not_take_come_later_and_once(self) -> None:
+    def test_unread_lines_are_written_later_exactly_once(self) -> None:
         lines = [b"%04d" % number + b"x" * 1000 + b"\n" for number in range(200)]
         read = b""
-        with pipe() as (reading, buffer):
+        with pipe_with_buffer() as (read_end, buffer):
             for line in lines:
                 buffer.add(line)
             while len(read) < sum(map(len, lines)):
                 buffer.flush()
-                read += os.read(reading, 7_777)
+                read += os.read(read_end, 7_777)
         assert read == b"".join(lines)
 
-    def test_line_longer_than_a_pipe_takes_at_once_is_written(self) -> None:
+    def test_line_above_the_atomic_size_of_a_pipe_is_written(self) -> None:
         line = b"x" * (3 * PIPE_BUF) + b"\n"
-        with pipe() as (reading, buffer):
+        with pipe_with_buffer() as (read_end, buffer):
             buffer.add(line)
             buffer.add(b"next\n")
             buffer.flush()
-            assert os.read(reading, 100_000) == line + b"next\n"
+            assert os.read(read_end, 100_000) == line + b"next\n"
--- a/railtide/telemetry/traceparent.py
+++ b/railtide/telemetry/traceparent.py
@@ -1,6 +1,7 @@
-"""The W3C traceparent, by which spans of different processes are joined.
+"""The W3C traceparent, which links spans of different processes.
 
-Apart from the spans themselves, since a process that keeps none needs no tracing SDK.
+This is separate from `railtide.telemetry.spans`, since a process that keeps no spans does not need
+to import the tracing SDK.
 """
 
 from opentelemetry import trace
@@ -15,14 +16,14 @@
 
 
 def context_of(traceparent: str) -> Context | None:
-    """Return the context of a caller's traceparent, or None without a valid one."""
+    """Return the tracing context of a caller's traceparent, or None if there is no traceparent."""
     if not traceparent:
         return None
     return _propagator.extract({TRACEPARENT: traceparent})
 
 
 def traceparent_of(span: trace.Span) -> str:
-    """Return the traceparent that makes other spans children of this one; empty if not sampled."""
+    """Return the traceparent for children of a span, or an empty string if it is not sampled."""
     if not span.get_span_context().trace_flags.sampled:
         return ""
     carrier: dict[str, str] = {}
