--- a/railtide/operators/__init__.py
+++ b/railtide/operators/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' side: publish, top up, show, explain."""
+"""Tools for operators: the `railtidectl` program, which publishes, tops up, shows and explains."""
--- a/railtide/operators/bills.py
+++ b/railtide/operators/bills.py
@@ -1,4 +1,4 @@
-"""An account's bills, read from the records that the log still keeps."""
+"""Bills of an account, read from the records that the log still retains."""
 
 from dataclasses import dataclass
 
@@ -7,14 +7,14 @@
 from railtide.journal.errors import RecordsExpired, UnreadableBatch
 from railtide.requests.messages import Bill, Intent
 
-__all__ = ["BillLine", "bills_of"]
+__all__ = ["BillLine", "read_bills"]
 
 PAGE = 500
 
 
 @dataclass(frozen=True)
 class BillLine:
-    """One bill as it stands in the log."""
+    """One bill and its position in the log."""
 
     offset: int
     stamp: int
@@ -25,24 +25,24 @@
 
 
 class _BillReader:
-    """Collects the first bill of each request of one account."""
+    """Collects the first bill of each request of one account from log entries."""
 
     def __init__(self, account: str) -> None:
         self.lines: list[BillLine] = []
         self._account = account
-        self._open: set[str] = set()
+        self._open_request_ids: set[str] = set()
         self._last_seq_by_holder: dict[str, int] = {}
 
-    def take(self, offset: int, stamp: int, entry: Entry) -> None:
-        """Take an entry; repeats are passed over as the fold does."""
+    def add_entry(self, offset: int, stamp: int, entry: Entry) -> None:
+        """Process an entry; repeated entries are ignored as in the fold."""
         if entry.seq <= self._last_seq_by_holder.get(entry.holder, 0):
             return
         self._last_seq_by_holder[entry.holder] = entry.seq
         record = decode_record(entry)
         if isinstance(record, Intent) and record.account == self._account:
-            self._open.add(record.request_id)
-        elif isinstance(record, Bill) and record.request_id in self._open:
-            self._open.discard(record.request_id)
+            self._open_request_ids.add(record.request_id)
+        elif isinstance(record, Bill) and record.request_id in self._open_request_ids:
+            self._open_request_ids.discard(record.request_id)
             self.lines.append(
                 BillLine(
                     offset, stamp, record.request_id, record.cost, record.outcome, entry.holder
@@ -50,31 +50,31 @@
             )
 
 
-async def bills_of(log: LogClient, stream: str, account: str) -> list[BillLine]:
-    """Return the account's bills in the log's order.
+async def read_bills(log: LogClient, stream: str, account: str) -> list[BillLine]:
+    """Return the bills of an account in the order of the log.
 
     Raises
     ------
     LogUnavailable
-        No answer.
+        If the log does not answer.
     """
-    reader = _BillReader(account)
-    start = 0
+    bill_reader = _BillReader(account)
+    next_offset = 0
     while True:
         try:
-            page = await log.read(stream, start, PAGE, 0)
+            page = await log.read(stream, next_offset, PAGE, 0)
         except RecordsExpired as err:
-            start = err.first
+            next_offset = err.first
             continue
         for record in page.records:
-            for entry in _entries(record.data):
-                reader.take(record.offset, record.stamp, entry)
-            start = record.offset + 1
-        if start >= page.head:
-            return reader.lines
+            for entry in _decode_entries(record.data):
+                bill_reader.add_entry(record.offset, record.stamp, entry)
+            next_offset = record.offset + 1
+        if next_offset >= page.head:
+            return bill_reader.lines
 
 
-def _entries(data: bytes) -> list[Entry]:
+def _decode_entries(data: bytes) -> list[Entry]:
     try:
         return batch_from_bytes(data)
     except UnreadableBatch:
--- a/railtide/operators/codes.py
+++ b/railtide/operators/codes.py
@@ -1,4 +1,4 @@
-"""What each error code means, collected from the error classes themselves."""
+"""Meanings of the error codes, collected from the error classes and their doc comments."""
 
 import importlib
 import inspect
@@ -10,7 +10,7 @@
 
 __all__ = ["CodeInfo", "all_codes", "explain_code"]
 
-BASE = "Base of"
+BASE_CLASS_PREFIX = "Base of"
 
 
 class CodeInfo:
@@ -24,31 +24,35 @@
 
 
 def all_codes() -> list[CodeInfo]:
-    """Return every code that an error is raised with, sorted; a base's word goes for its kinds."""
+    """Return all error codes except those of mere base classes, sorted by code.
+
+    If a class and classes derived from it have the same code, the class highest in the hierarchy
+    gives its meaning.
+    """
     for module in pkgutil.walk_packages(railtide.__path__, "railtide."):
         if module.name.endswith(".errors"):
             importlib.import_module(module.name)
-    from_the_leaves = reversed(_subclasses(RailtideError))
-    by_code = {error.code: CodeInfo(error) for error in from_the_leaves}
+    derived_first = reversed(_all_subclasses(RailtideError))
+    by_code = {error.code: CodeInfo(error) for error in derived_first}
     infos = [by_code[code] for code in sorted(by_code)]
-    return [info for info in infos if not info.meaning.startswith(BASE)]
+    return [info for info in infos if not info.meaning.startswith(BASE_CLASS_PREFIX)]
 
 
-def _subclasses(error: type[RailtideError]) -> list[type[RailtideError]]:
+def _all_subclasses(error: type[RailtideError]) -> list[type[RailtideError]]:
     found = []
     for child in error.__subclasses__():
         found.append(child)
-        found += _subclasses(child)
+        found += _all_subclasses(child)
     return found
 
 
 def explain_code(code: str) -> CodeInfo:
-    """Return what a code means.
+    """Return the information on a code.
 
     Raises
     ------
     UnknownCode
-        No error has it.
+        If no error has this code.
 
     Examples
     --------
--- a/railtide/operators/errors.py
+++ b/railtide/operators/errors.py
@@ -1,4 +1,4 @@
-"""Errors told to operators."""
+"""Errors of the operators' tools."""
 
 from railtide.errors import RailtideError
 
@@ -6,7 +6,7 @@
 
 
 class OperatorError(RailtideError):
-    """Base of the operators' errors."""
+    """Base of the errors of the operators' tools."""
 
     code = "operator-error"
 
@@ -18,7 +18,7 @@
 
 
 class Refused(OperatorError):
-    """The fold refused the change; `detail` says why."""
+    """The change was refused when the log was folded; `detail` gives the reason."""
 
     code = "refused"
 
--- a/railtide/operators/session.py
+++ b/railtide/operators/session.py
@@ -1,4 +1,4 @@
-"""An operator's session at the log: folds it like any keeper, and appends under a holder."""
+"""An operator's session on the log: folds the log like a keeper, and appends as a holder."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -25,14 +25,14 @@
 
 
 class Session:
-    """A folded log to look at, and a way to submit records.
+    """Follows the log for reading its state, and submits records to it.
 
     Parameters
     ----------
     log : LogClient
     options : KeeperOptions
     timeout_s : float
-        Longest wait for a record of the log, and for a verdict.
+        Longest wait for the next record of the log, and for a verdict, seconds.
     """
 
     def __init__(self, log: LogClient, options: KeeperOptions, timeout_s: float) -> None:
@@ -50,21 +50,23 @@
         return self.follower.state
 
     async def wait_until_caught_up(self) -> None:
-        """Return once the head seen at the start is folded; a long log may take long.
+        """Return once the log is folded up to the head that was seen at the start.
+
+        The total time is not limited, since reading a long log may take long.
 
         Raises
         ------
         NoVerdict
-            No record came for the longest wait.
+            If no record arrived for `timeout_s`.
         """
-        known = self.follower.records_read
-        heard_at = trio.current_time()
+        last_records_read = self.follower.records_read
+        last_progress = trio.current_time()
         while not self.follower.caught_up:
             await trio.sleep(POLL_S)
-            if self.follower.records_read != known:
-                known = self.follower.records_read
-                heard_at = trio.current_time()
-            elif trio.current_time() - heard_at > self._timeout_s:
+            if self.follower.records_read != last_records_read:
+                last_records_read = self.follower.records_read
+                last_progress = trio.current_time()
+            elif trio.current_time() - last_progress > self._timeout_s:
                 raise NoVerdict("the log does not answer; nothing was submitted")
 
     async def submit(self, record: Record) -> Verdict:
@@ -73,7 +75,7 @@
         Raises
         ------
         NoVerdict
-            The log did not answer in time; the record may still be in it.
+            If the log did not answer in time; the record may still have been appended.
         """
         if self._writer is None:
             self._writer = self._open_writer()
@@ -83,18 +85,18 @@
         return verdict
 
     async def close(self) -> None:
-        """Close this session's holder."""
+        """Close the holder of this session, if one was opened."""
         if self._writer:
             await self.submit(CloseHolder())
 
     def _open_writer(self) -> Writer:
-        who = Identity(Role.OPERATOR, "", "", new_incarnation())
-        writer = Writer(who.holder(Role.OPERATOR, 1), self.appender.add)
-        writer.submit(OpenHolder(who.instance, "", "", Role.OPERATOR, self.state.stamp))
+        identity = Identity(Role.OPERATOR, "", "", new_incarnation())
+        writer = Writer(identity.holder(Role.OPERATOR, 1), self.appender.add)
+        writer.submit(OpenHolder(identity.instance, "", "", Role.OPERATOR, self.state.stamp))
         return writer
 
-    def _on_folded(self, taken: list[FoldedEntry]) -> None:
-        for folded in taken:
+    def _on_folded(self, folded_entries: list[FoldedEntry]) -> None:
+        for folded in folded_entries:
             self.appender.passed(folded.holder, folded.verdict.seq)
             if self._writer and folded.holder == self._writer.holder:
                 self._writer.apply_verdict(folded.verdict)
--- a/railtide/operators/tests/test_program.py
+++ b/railtide/operators/tests/test_program.py
@@ -11,9 +11,9 @@
 
 def run(monkeypatch, main, *argv: str) -> int:
     monkeypatch.setattr("sys.argv", ["program", *argv])
-    with pytest.raises(SystemExit) as ended:
+    with pytest.raises(SystemExit) as exited:
         main()
-    return ended.value.code
+    return exited.value.code
 
 
 ROUTER = ("--instance", "i", "--failure-domain", "a", "--keepers", "127.0.0.1:1")
@@ -22,7 +22,7 @@
 
 class TestSettings:
     @pytest.mark.parametrize(
-        "main,argv,named",
+        "main,argv,expected_text",
         [
             (router_main, (*ROUTER, "--trace-ratio", "2"), "--trace-ratio"),
             (router_main, (*ROUTER[:-1], "nowhere"), "host:port"),
@@ -33,10 +33,12 @@
         ],
         ids=["ratio", "endpoint", "port", "url", "amount", "file"],
     )
-    def test_wrong_setting_is_named(self, monkeypatch, capsys, main, argv, named) -> None:
+    def test_message_names_the_invalid_setting(
+        self, monkeypatch, capsys, main, argv, expected_text
+    ) -> None:
         assert run(monkeypatch, main, *argv) == EXIT_SETTINGS
-        said = capsys.readouterr().err
-        assert "invalid-setting" in said and named in said
+        printed = capsys.readouterr().err
+        assert "invalid-setting" in printed and expected_text in printed
 
     def test_environment_sets_a_flag(self, monkeypatch, capsys) -> None:
         monkeypatch.setenv("RAILTIDE_ROUTER_DRAIN_S", "-1")
@@ -50,11 +52,11 @@
         assert len({info.code for info in codes}) == len(codes) > 30
         assert all(info.meaning.endswith(".") or ";" in info.meaning for info in codes)
 
-    def test_kinds_of_an_error_leave_its_meaning(self) -> None:
+    def test_derived_errors_do_not_change_the_meaning_of_a_code(self) -> None:
         meaning_by_code = {info.code: info.meaning for info in all_codes()}
         assert meaning_by_code["upstream-refused"].startswith("The call certainly did not run")
         assert meaning_by_code["upstream-lost"].startswith("The call was sent, at least in part")
 
-    def test_explain_names_unknown_codes(self, monkeypatch, capsys) -> None:
+    def test_explain_rejects_an_unknown_code(self, monkeypatch, capsys) -> None:
         assert run(monkeypatch, ctl_main, "explain", "nonsense") == 1
         assert "unknown-code" in capsys.readouterr().err
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -1326,14 +1326,14 @@
     Mutant(
         "session-has-a-limit-on-the-whole-log",
         "operators/session.py",
-        "                heard_at = trio.current_time()\n            elif",
+        "                last_progress = trio.current_time()\n            elif",
         "            elif",
         ("railtide/operators/tests/test_long_logs.py",),
     ),
     Mutant(
         "session-waits-for-a-silent-log",
         "operators/session.py",
-        "elif trio.current_time() - heard_at > self._timeout_s:",
+        "elif trio.current_time() - last_progress > self._timeout_s:",
         "elif False:",
         ("railtide/operators/tests/test_long_logs.py",),
     ),
