--- a/railtide/edge/node.py
+++ b/railtide/edge/node.py
@@ -66,7 +66,7 @@
     rng : random.Random
     clocks : Clocks, optional
         See `LedgerBudgetSource`.
-    suspensions : Suspensions, optional
+    suspensions : SuspensionDetector, optional
         Those of the machine by default.
 
     Attributes
--- a/railtide/edge/wake_handler.py
+++ b/railtide/edge/wake_handler.py
@@ -19,7 +19,7 @@
 
     Parameters
     ----------
-    suspensions : Suspensions
+    suspensions : SuspensionDetector
     refreshes : sequence of callable
         Each starts a reread, and returns an event that is set once it is done.
     on_woken : callable
