--- a/railtide/http/errors.py
+++ b/railtide/http/errors.py
@@ -3,7 +3,7 @@
 from railtide.errors import ExecutionStatus, RailtideError
 
 __all__ = [
-    "CallerGone",
+    "CallerDisconnected",
     "ConnectFailed",
     "ConnectRefused",
     "ConnectionLost",
@@ -42,7 +42,7 @@
     code = "stalled"
 
 
-class CallerGone(HttpError):
+class CallerDisconnected(HttpError):
     """The caller closed its connection before it received the whole answer."""
 
     code = "caller-gone"
--- a/railtide/http/server.py
+++ b/railtide/http/server.py
@@ -8,7 +8,7 @@
 import trio
 from loguru import logger
 
-from railtide.http.errors import CallerGone
+from railtide.http.errors import CallerDisconnected
 from railtide.http.messages import Headers, HttpRequest, first_header
 from railtide.http.sockets import set_tcp_options
 
@@ -141,7 +141,7 @@
         try:
             set_tcp_options(stream.socket)
             await _Connection(self, stream).run()
-        except (trio.BrokenResourceError, trio.ClosedResourceError, OSError, CallerGone):
+        except (trio.BrokenResourceError, trio.ClosedResourceError, OSError, CallerDisconnected):
             pass  # the caller disconnected; the handler has logged the consequences
         except Exception as err:
             logger.bind(error=repr(err)).exception("connection-failed")
@@ -266,7 +266,7 @@
                 nursery.start_soon(self._watch_caller, nursery.cancel_scope)
                 await self.server.handler(request, responder)
                 nursery.cancel_scope.cancel()
-        except* (trio.BrokenResourceError, trio.ClosedResourceError, CallerGone):
+        except* (trio.BrokenResourceError, trio.ClosedResourceError, CallerDisconnected):
             pass  # the answer is incomplete, so the connection is closed
         return responder.finished
 
@@ -338,4 +338,4 @@
         try:
             await self._connection.stream.send_all(data)
         except trio.BrokenResourceError as err:
-            raise CallerGone("the caller closed its connection") from err
+            raise CallerDisconnected("the caller closed its connection") from err
--- a/railtide/http/tests/test_connections.py
+++ b/railtide/http/tests/test_connections.py
@@ -119,10 +119,10 @@
         async def script(stream: trio.SocketStream) -> None:
             nonlocal opened
             opened += 1
-            falls_silent = opened <= 4
+            becomes_unresponsive = opened <= 4
             while await stream.receive_some():
                 await stream.send_all(WHOLE)
-                if falls_silent:
+                if becomes_unresponsive:
                     await trio.sleep_forever()
 
         async with peer(script) as pool:
--- a/railtide/platform/ingress.py
+++ b/railtide/platform/ingress.py
@@ -9,7 +9,7 @@
 
 from railtide.edge.node import EdgeNode
 from railtide.errors import ExecutionStatus, RailtideError
-from railtide.http.errors import CallerGone
+from railtide.http.errors import CallerDisconnected
 from railtide.http.messages import Headers, HttpRequest, first_header
 from railtide.http.server import Responder
 from railtide.platform import header_names
@@ -139,7 +139,7 @@
         self, err: RailtideError, responder: Responder, trace: "_RequestTrace"
     ) -> int:
         """Respond with an error, unless a response has begun; return the status, 0 for none."""
-        if responder.started or isinstance(err, CallerGone):
+        if responder.started or isinstance(err, CallerDisconnected):
             return 0
         not_run = err.run is ExecutionStatus.NOT_RUN and err.status >= MIN_SERVER_ERROR
         status = NOT_RUN_STATUS if not_run else err.status
--- a/railtide/platform/tests/test_store.py
+++ b/railtide/platform/tests/test_store.py
@@ -7,7 +7,7 @@
 import pytest
 import trio
 
-from railtide.http.errors import CallerGone
+from railtide.http.errors import CallerDisconnected
 from railtide.http.messages import HttpRequest
 from railtide.http.server import ConnectionLimits, Handler, HttpServer, Responder
 from railtide.http.sockets import listen
@@ -146,7 +146,7 @@
         async def cut(request: HttpRequest, responder: Responder) -> None:
             await responder.start(200, (), 1000)
             await responder.write(head + record + record + record[:5])
-            raise CallerGone("the connection ends here")
+            raise CallerDisconnected("the connection ends here")
 
         async with client_of(cut) as store:
             page = await store.read("keyed.t", 4, 0.0)
