--- a/railtide/platform/ingress.py
+++ b/railtide/platform/ingress.py
@@ -9,7 +9,7 @@
 
 from railtide.edge.node import EdgeNode
 from railtide.errors import ExecutionStatus, RailtideError
-from railtide.http.errors import CallerGone
+from railtide.http.errors import CallerDisconnected
 from railtide.http.messages import Headers, HttpRequest, first_header
 from railtide.http.server import Responder
 from railtide.platform import header_names
@@ -142,7 +142,7 @@
 
         A response that has begun is left incomplete, and 0 is returned.
         """
-        if responder.started or isinstance(err, CallerGone):
+        if responder.started or isinstance(err, CallerDisconnected):
             return 0
         not_run = err.run is ExecutionStatus.NOT_RUN and err.status >= MIN_SERVER_ERROR
         status = NOT_RUN_STATUS if not_run else err.status
