--- a/tests/processes.py
+++ b/tests/processes.py
@@ -18,7 +18,7 @@
 
 @dataclass
 class Process:
-    """A process started by a test."""
+    """A running process and the addresses it listens on, by their name."""
 
     popen: subprocess.Popen
     listening: dict[str, str]
@@ -37,7 +37,7 @@
 
 @dataclass
 class Deployment:
-    """All processes of one test, ended by their ids."""
+    """The processes of one test; `deployment` kills exactly these, by process id."""
 
     processes: list[Process] = field(default_factory=list)
     log: Process | None = None
@@ -119,22 +119,22 @@
 
 
 def _flags(flags: dict[str, object]) -> list[str]:
-    listed: list[str] = []
+    arguments: list[str] = []
     for name, value in flags.items():
-        listed += ["--" + name.replace("_", "-"), str(value)]
-    return listed
+        arguments += ["--" + name.replace("_", "-"), str(value)]
+    return arguments
 
 
 @contextmanager
 def deployment() -> Iterator[Deployment]:
-    """Yield a deployment and end every process it started."""
-    made = Deployment()
+    """Yield a deployment; kill every process that it started at the end, paused ones too."""
+    deployed = Deployment()
     try:
-        yield made
+        yield deployed
     finally:
-        for process in made.processes:
+        for process in deployed.processes:
             process.popen.send_signal(signal.SIGCONT)
             process.popen.kill()
-        for process in made.processes:
+        for process in deployed.processes:
             process.popen.wait()
             process.popen.stdout.close()
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -1,4 +1,4 @@
-"""A longer random run of fault sequences; a seed reproduces a case.
+"""Random fault sequences against the simulated deployment; a seed reproduces its case.
 
 ``python -m tests.soak [first seed] [count]`` prints each seed that fails and exits with 1.
 """
@@ -15,25 +15,25 @@
 from tests.matrix.test_matrix import run_on_virtual_clock
 
 WORKERS = 7
-MOST_FAULTS = 3
-MOST_NTH = 4
-CASE_S = 20
+MAX_FAULTS = 3
+MAX_NTH = 4
+CASE_TIMEOUT_S = 20
 
 
 def case_of(seed: int) -> list[tuple[str, str, str, int]]:
-    """Return the (step, moment, fault, nth) of a seed."""
+    """Return the (step, moment, fault, nth) of each fault of a seed's case."""
     rng = Random(seed)
-    count = rng.randint(2, MOST_FAULTS)
+    count = rng.randint(2, MAX_FAULTS)
     return [
-        (*rng.choice(STEPS), rng.choice(sorted(FAULTS)), rng.randint(1, MOST_NTH))
+        (*rng.choice(STEPS), rng.choice(sorted(FAULTS)), rng.randint(1, MAX_NTH))
         for _ in range(count)
     ]
 
 
 def run_case(seed: int) -> str:
-    """Run a seed; return an empty string or what failed."""
+    """Run the case of a seed; return the traceback of its failure, or an empty string."""
     logger.remove()
-    signal.alarm(CASE_S)
+    signal.alarm(CASE_TIMEOUT_S)
     signal.signal(signal.SIGALRM, _on_alarm)
     try:
         triggers = [Trigger(s, m, FAULTS[f], n) for s, m, f, n in case_of(seed)]
@@ -46,23 +46,25 @@
 
 
 def _on_alarm(number: int, frame: object) -> None:
-    raise TimeoutError(f"the case took over {CASE_S} s: {''.join(traceback.format_stack(frame))}")
+    raise TimeoutError(
+        f"the case took over {CASE_TIMEOUT_S} s: {''.join(traceback.format_stack(frame))}"
+    )
 
 
 def main() -> int:
-    """Run seeds in parallel and report."""
+    """Run the seeds in parallel, print the failures and return the exit code."""
     first = int(sys.argv[1]) if len(sys.argv) > 1 else 0
     count = int(sys.argv[2]) if len(sys.argv) > 2 else 700
     failed = 0
     with ProcessPoolExecutor(WORKERS) as pool:
-        for seed, said in zip(
+        for seed, failure in zip(
             range(first, first + count),
             pool.map(run_case, range(first, first + count)),
             strict=True,
         ):
-            if said:
+            if failure:
                 failed += 1
-                print(f"seed {seed}: {case_of(seed)}\n{said}", flush=True)
+                print(f"seed {seed}: {case_of(seed)}\n{failure}", flush=True)
     print(f"{count - failed} passed, {failed} failed")
     return 1 if failed else 0
 
--- a/tests/test_boundaries.py
+++ b/tests/test_boundaries.py
@@ -1,4 +1,4 @@
-"""The adapter's bounds: what may know of the users' platform, and how much of it there is."""
+"""Limits of the platform adapter: who may depend on it, and its share of the code."""
 
 import ast
 from pathlib import Path
@@ -30,15 +30,15 @@
     "path_prefix",
     "node_name",
 )
-MOST_SHARE = 0.1
+MAX_ADAPTER_SHARE = 0.1
 
 
 def sources() -> list[Path]:
-    """Return all modules but tests, wherever the checkout lies."""
+    """Return all modules but tests; only the path below `ROOT` decides what is a test."""
     return [p for p in sorted(ROOT.rglob("*.py")) if "tests" not in p.relative_to(ROOT).parts]
 
 
-def inside(path: Path, package: str) -> bool:
+def is_in_package(path: Path, package: str) -> bool:
     return path.is_relative_to(ROOT / package)
 
 
@@ -52,28 +52,28 @@
     return names
 
 
-def lines(paths: list[Path]) -> int:
+def count_lines(paths: list[Path]) -> int:
     return sum(1 for path in paths for line in path.read_text().splitlines() if line.strip())
 
 
 class TestAdapter:
-    def test_nothing_outside_it_imports_it(self) -> None:
-        outside = [path for path in sources() if not inside(path, "platform")]
+    def test_no_other_package_imports_it(self) -> None:
+        outside = [path for path in sources() if not is_in_package(path, "platform")]
         importers = [p for p in outside if any(n.startswith(ADAPTER) for n in imports_of(p))]
         assert importers == []
 
     @pytest.mark.parametrize("name", PLATFORM_NAMES)
-    def test_its_names_stay_inside(self, name: str) -> None:
+    def test_platform_names_appear_only_in_it_and_its_stand_ins(self, name: str) -> None:
         users = [
             str(path.relative_to(ROOT))
             for path in sources()
-            if not inside(path, "platform")
-            and not inside(path, "standins")
+            if not is_in_package(path, "platform")
+            and not is_in_package(path, "standins")
             and name in path.read_text().lower()
         ]
         assert users == []
 
     def test_it_is_under_a_tenth_of_the_code(self) -> None:
-        adapter = lines([path for path in sources() if inside(path, "platform")])
+        adapter = count_lines([path for path in sources() if is_in_package(path, "platform")])
         assert adapter > 0
-        assert adapter < MOST_SHARE * lines(sources())
+        assert adapter < MAX_ADAPTER_SHARE * count_lines(sources())
--- a/tests/test_edge_process.py
+++ b/tests/test_edge_process.py
@@ -44,13 +44,13 @@
     "services": [{"name": "s"}],
     "tenants": [{"name": "t", "api_keys": ["k"], "prepaid": 10_000}],
 }
-SMALL_LIMITS = {
+LIMITS_OF_10_BYTE_BODIES = {
     "max_header_bytes": 4096,
     "max_body_bytes": 10,
     "header_timeout_ms": 5000,
     "idle_timeout_ms": 30_000,
 }
-LARGE_BODY = b"x" * 11
+BODY_OVER_LIMIT = b"x" * 11
 READ_AGE = re.compile(r'^railtide_read_age_seconds\{.*\btopic="([^"]+)".*\} (\S+)$', re.MULTILINE)
 STORE_ERA = re.compile(r"^railtide_store_era\{[^}]*\} (\S+)", re.MULTILINE)
 STORE_RISES = re.compile(r"^railtide_store_era_rises_total\{[^}]*\} (\S+)", re.MULTILINE)
@@ -58,7 +58,7 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Return ports that the system gave and that are free again."""
+    """Return ports that the system assigned and that are released again."""
     socks = [socket.socket() for _ in range(count)]
     for sock in socks:
         sock.bind((HOST, 0))
@@ -69,8 +69,8 @@
 
 
 @dataclass
-class Edge:
-    """A store, an engine, and how to start a router before them."""
+class EdgeSetup:
+    """A store and an engine in this process, and a router as a process of its own."""
 
     store: MemoryStore
     engine: PlatformEngine
@@ -91,14 +91,14 @@
 
     async def start(self) -> trio.Process:
         """Start a router and return its process once it is ready."""
-        started = await self.launch()
+        process = await self.launch()
         with trio.fail_after(WAIT_S):
             while not await self.is_ready():
                 await trio.sleep(0.05)
-        return started
+        return process
 
     async def is_ready(self) -> bool:
-        """Return whether the router says that it serves."""
+        """Return whether the router's readiness check succeeds."""
         request = HttpRequest(b"GET", b"/ready", ((b"host", b"x"),))
         try:
             exchange = await PeerPool(HOST, self.ready_port).send(request)
@@ -108,11 +108,11 @@
         return exchange.status == 200
 
     async def metrics(self) -> str:
-        """Return the page of metrics."""
+        """Return the text of the metrics endpoint."""
         request = HttpRequest(b"GET", b"/metrics", ((b"host", b"x"),))
         return (await body_of(await PeerPool(HOST, self.metrics_port).send(request))).decode()
 
-    async def ask(self, number: int, body: bytes = b"body") -> Exchange:
+    async def send_request(self, number: int, body: bytes = b"body") -> Exchange:
         headers = (
             (b"host", b"h.example"),
             (b"x-attempt-id", b"r%d" % number),
@@ -123,7 +123,7 @@
         return await pool.send(HttpRequest(b"POST", b"/s/x", headers, body))
 
     def committed(self) -> int:
-        """Return the units of the account that are spent or in a hand."""
+        """Return the units of the account that are spent or allocated to a router."""
         newest = self.store.topic(LedgerOptions.topic).newest_by_key
         return committed(ledger_from_bytes(newest["t"].value))
 
@@ -135,7 +135,7 @@
 
 
 @asynccontextmanager
-async def edge(folder: Path) -> AsyncIterator[Edge]:
+async def edge_setup(folder: Path) -> AsyncIterator[EdgeSetup]:
     store = MemoryStore()
     engine = PlatformEngine("e1", EngineScript(events=20, gap_s=0.05))
     store.put("keyed.op", "config", msgspec.json.encode(STATE))
@@ -156,7 +156,7 @@
   directory: "{HOST}:{lookup}"
 platform: {{address: "127.0.0.1:{store_port}", parts: 1}}
 """)
-        yield Edge(store, engine, settings, calls, ready, metrics, nursery)
+        yield EdgeSetup(store, engine, settings, calls, ready, metrics, nursery)
         nursery.cancel_scope.cancel()
 
 
@@ -166,118 +166,117 @@
 
 
 class TestEdgeProcess:
-    async def test_graceful_shutdown_cuts_nothing_and_gives_budget_back(
+    async def test_graceful_shutdown_finishes_answers_and_returns_budget(
         self, tmp_path: Path
     ) -> None:
-        async with edge(tmp_path) as made:
-            process = await made.start()
-            exchange = await made.ask(1)
+        async with edge_setup(tmp_path) as setup:
+            process = await setup.start()
+            exchange = await setup.send_request(1)
             process.send_signal(signal.SIGTERM)
             assert (await body_of(exchange)).count(b"data:") == 20
             with trio.fail_after(WAIT_S):
                 assert await process.wait() == 0
-            assert made.committed() == 50 + 20
+            assert setup.committed() == 50 + 20
 
     @pytest.mark.parametrize("second", [signal.SIGTERM, signal.SIGINT, signal.SIGHUP])
-    async def test_second_signal_while_draining_cuts_nothing(
+    async def test_second_signal_while_draining_interrupts_no_answer(
         self, tmp_path: Path, second: signal.Signals
     ) -> None:
-        """Users saw answers break off that their engines finished, at routers on their way out.
+        """Guards against a second signal that kills a draining router in the middle of answers.
 
-        A router was asked to end, drained, and was asked to end again. It listened to the first
-        signal only; the second met the system's own handler and ended it in the middle of its
-        answers, with its hands not given back. Evidence: it ended with -15 in place of 0, and 13
-        requests that an engine ran had no answer, in a soak of nothing but signals and changes.
+        The router handled only the first signal; the second met the default handler, so the exit
+        code was -15 instead of 0 and its allocations weren't returned. In a soak of signals and
+        configuration changes alone, 13 requests that an engine had run got no answer.
         """
-        async with edge(tmp_path) as made:
-            process = await made.start()
-            exchange = await made.ask(1)
+        async with edge_setup(tmp_path) as setup:
+            process = await setup.start()
+            exchange = await setup.send_request(1)
             process.send_signal(signal.SIGTERM)
             with trio.fail_after(WAIT_S):
-                while await made.is_ready():
+                while await setup.is_ready():
                     await trio.sleep(0.01)
             process.send_signal(second)
             assert (await body_of(exchange)).count(b"data:") == 20
             with trio.fail_after(WAIT_S):
                 assert await process.wait() == 0
-            assert made.committed() == 50 + 20
+            assert setup.committed() == 50 + 20
 
-    async def test_view_that_may_be_old_shows_in_limits_and_metrics(self, tmp_path: Path) -> None:
-        state = STATE | {"version": STATE["version"] + 1, "limits": SMALL_LIMITS}
-        async with edge(tmp_path) as made:
-            made.store.put("keyed.op", "config", msgspec.json.encode(state))
-            process = await made.start()
+    async def test_outdated_configuration_shows_in_limits_and_metrics(self, tmp_path: Path) -> None:
+        state = STATE | {"version": STATE["version"] + 1, "limits": LIMITS_OF_10_BYTE_BODIES}
+        async with edge_setup(tmp_path) as setup:
+            setup.store.put("keyed.op", "config", msgspec.json.encode(state))
+            process = await setup.start()
             try:
-                assert (await made.ask(1, LARGE_BODY)).status == 413
-                ages = READ_AGE.findall(await made.metrics())
+                assert (await setup.send_request(1, BODY_OVER_LIMIT)).status == 413
+                ages = READ_AGE.findall(await setup.metrics())
                 assert {topic for topic, _ in ages} >= {"keyed.op", "keyed.servers"}
                 assert all(0 <= float(age) < WAIT_S for _, age in ages)
-                made.store.down = True
-                made.store.put("keyed.op", "other", b"x")
+                setup.store.down = True
+                setup.store.put("keyed.op", "other", b"x")
                 with trio.fail_after(WAIT_S):
-                    while (await made.ask(2, LARGE_BODY)).status == 413:
+                    while (await setup.send_request(2, BODY_OVER_LIMIT)).status == 413:
                         await trio.sleep(0.05)
-                assert (await made.ask(3, LARGE_BODY)).status == 503
-                assert OUTDATED.findall(await made.metrics()) == ["2.0"]
+                assert (await setup.send_request(3, BODY_OVER_LIMIT)).status == 503
+                assert OUTDATED.findall(await setup.metrics()) == ["2.0"]
             finally:
                 process.kill()
             await process.wait()
 
     async def test_store_era_shows_in_metrics(self, tmp_path: Path) -> None:
-        async with edge(tmp_path) as made:
-            process = await made.start()
-            assert STORE_ERA.findall(await made.metrics()) == ["-1.0"]
+        async with edge_setup(tmp_path) as setup:
+            process = await setup.start()
+            assert STORE_ERA.findall(await setup.metrics()) == ["-1.0"]
             for era in (4, 5):
-                made.store.roll_back(made.store.copy())
-                made.store.era = era
+                setup.store.roll_back(setup.store.copy())
+                setup.store.era = era
                 with trio.fail_after(WAIT_S):
-                    while STORE_ERA.findall(await made.metrics()) != [f"{era}.0"]:
+                    while STORE_ERA.findall(await setup.metrics()) != [f"{era}.0"]:
                         await trio.sleep(0.05)
-            assert STORE_RISES.findall(await made.metrics()) == ["1.0"]
+            assert STORE_RISES.findall(await setup.metrics()) == ["1.0"]
             process.kill()
             await process.wait()
 
     async def test_kill_and_restart_overspend_nothing(self, tmp_path: Path) -> None:
-        async with edge(tmp_path) as made:
-            process = await made.start()
-            assert (await body_of(await made.ask(1))).count(b"data:") == 20
+        async with edge_setup(tmp_path) as setup:
+            process = await setup.start()
+            assert (await body_of(await setup.send_request(1))).count(b"data:") == 20
             process.kill()
             await process.wait()
-            before = made.committed()
-            again = await made.start()
-            assert (await body_of(await made.ask(2))).count(b"data:") == 20
-            assert made.committed() >= before + 70
+            before = setup.committed()
+            again = await setup.start()
+            assert (await body_of(await setup.send_request(2))).count(b"data:") == 20
+            assert setup.committed() >= before + 70
             again.kill()
             await again.wait()
 
-    async def test_second_process_beside_a_living_one_ends_and_takes_no_hand(
+    async def test_second_process_on_the_same_address_exits_without_allocation(
         self, tmp_path: Path
     ) -> None:
-        """It would be taken for a proof that the first is dead, and what that one holds be spent
-        twice."""
-        async with edge(tmp_path) as made:
-            first = await made.start()
-            assert (await body_of(await made.ask(1))).count(b"data:") == 20
-            second = await made.launch()
+        """A registered second process would prove that the first is dead, so the first one's
+        allocation would be granted again and spent twice."""
+        async with edge_setup(tmp_path) as setup:
+            first = await setup.start()
+            assert (await body_of(await setup.send_request(1))).count(b"data:") == 20
+            second = await setup.launch()
             with trio.fail_after(WAIT_S):
                 assert await second.wait() == EXIT_ADDRESS_IN_USE
-            assert (await body_of(await made.ask(2))).count(b"data:") == 20
-            newest = made.store.topic(LedgerOptions.topic).newest_by_key
+            assert (await body_of(await setup.send_request(2))).count(b"data:") == 20
+            newest = setup.store.topic(LedgerOptions.topic).newest_by_key
             assert ledger_from_bytes(newest["t"].value).closed == 0
             first.kill()
             await first.wait()
 
-    async def test_settings_that_turn_bad_are_left_alone_at_a_reload(self, tmp_path: Path) -> None:
-        async with edge(tmp_path) as made:
-            process = await made.start()
-            made.settings.write_text("node_name: edge-1\n")
+    async def test_invalid_settings_are_ignored_at_a_reload(self, tmp_path: Path) -> None:
+        async with edge_setup(tmp_path) as setup:
+            process = await setup.start()
+            setup.settings.write_text("node_name: edge-1\n")
             process.send_signal(signal.SIGHUP)
-            assert (await body_of(await made.ask(1))).count(b"data:") == 20
+            assert (await body_of(await setup.send_request(1))).count(b"data:") == 20
             assert process.poll() is None
             process.kill()
             await process.wait()
 
-    async def test_wrong_settings_are_named_and_end_the_process(self, tmp_path: Path) -> None:
+    async def test_invalid_settings_are_reported_and_end_the_process(self, tmp_path: Path) -> None:
         wrong = tmp_path / "local.yaml"
         wrong.write_text("node_name: edge-1\n")
         program = [sys.executable, "-m", "railtide.platform.start"]
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""Tests of KNOWN-RED.txt: CI passes over the listed tests, prints them, and over no others."""
+"""Tests of KNOWN-RED.txt: only the listed tests may fail, and their failures are printed."""
 
 import shutil
 import subprocess
@@ -9,11 +9,11 @@
 TESTS = "def test_red():\n    assert False\n\n\ndef test_green():\n    pass\n"
 
 
-def run_with(folder: Path, *listed: str) -> tuple[int, str]:
-    """Return the exit code and output of the two tests with a list of known failures."""
+def run_with(folder: Path, *known_red: str) -> tuple[int, str]:
+    """Return the exit code and output of pytest on `TESTS` with these known failures listed."""
     shutil.copy(ROOT / "conftest.py", folder / "conftest.py")
     (folder / "test_a.py").write_text(TESTS)
-    lines = [f"test_a.py::{name} | a cause | 1\n" for name in listed]
+    lines = [f"test_a.py::{name} | a cause | 1\n" for name in known_red]
     (folder / "KNOWN-RED.txt").write_text("# a comment\n\n" + "".join(lines))
     done = subprocess.run(
         [sys.executable, "-m", "pytest", "-p", "no:cacheprovider", "test_a.py"],
--- a/tests/test_lost.py
+++ b/tests/test_lost.py
@@ -1,4 +1,4 @@
-"""Tests of bench.lost: each lost request of many routers' lines has one cause."""
+"""Tests of bench.lost: each lost request in the merged logs of routers gets one cause."""
 
 import json
 
@@ -41,22 +41,22 @@
         assert summary.lost.count_by_pool == {"p": 1, "r": 3, "not told": 1}
         assert summary.lost.count_by_second == {2: 1, 3: 1, 4: 1, 5: 1, 6: 1}
 
-    def test_two_lines_in_one_and_a_cut_one_are_read(self) -> None:
+    def test_two_events_on_one_line_and_a_truncated_one_are_read(self) -> None:
         both = LINES[2] + LINES[3].lstrip()
         cut = LINES[7][:60]
         assert [event.event for event in events_of([both, cut])] == ["budget-refused", "request"]
 
-    def test_one_id_at_two_routers_is_two_stories(self) -> None:
+    def test_one_id_at_two_routers_counts_as_two_requests(self) -> None:
         lines = [LINES[3], line(2.1, "c", "request", "q2", status=200)]
         assert summary_of(events_of(lines)).lost.count_by_cause.total() == 1
 
-    def test_late_answers_are_told_from_lost_ones(self) -> None:
-        told = {"status": 200, "route": "r", "goal_ms": 100.0, "pause_goal_ms": 400.0}
+    def test_late_answers_are_not_counted_as_lost(self) -> None:
+        answer = {"status": 200, "route": "r", "goal_ms": 100.0, "pause_goal_ms": 400.0}
         lines = [
-            line(1.0, "a", "request", "q1", first_ms=90.0, pause_ms=300.0, **told),
-            line(2.0, "a", "request", "q2", first_ms=110.0, pause_ms=300.0, **told),
-            line(3.0, "b", "request", "q3", first_ms=90.0, pause_ms=500.0, **told),
-            line(3.0, "b", "request", "q4", first_ms=None, **told | {"status": 503}),
+            line(1.0, "a", "request", "q1", first_ms=90.0, pause_ms=300.0, **answer),
+            line(2.0, "a", "request", "q2", first_ms=110.0, pause_ms=300.0, **answer),
+            line(3.0, "b", "request", "q3", first_ms=90.0, pause_ms=500.0, **answer),
+            line(3.0, "b", "request", "q4", first_ms=None, **answer | {"status": 503}),
         ]
         summary = summary_of(events_of(lines))
         assert summary.late.count_by_cause == {FIRST_LATE: 1, PAUSED: 1}
--- a/tests/test_mutants.py
+++ b/tests/test_mutants.py
@@ -1,6 +1,6 @@
-"""Each mutant can be put in: its file's text is as the mutant says.
+"""Each mutant can be applied: its original text occurs exactly once in its file.
 
-One whose text has moved ends the whole run of `python -m tests.mutants` with an error.
+A mutant without its text ends the whole run of `python -m tests.mutants` with an error.
 """
 
 import pytest
@@ -10,7 +10,7 @@
 
 class TestMutants:
     @pytest.mark.parametrize("mutant", MUTANTS, ids=lambda mutant: mutant.name)
-    def test_its_text_stands_once(self, mutant: Mutant) -> None:
+    def test_original_text_occurs_once(self, mutant: Mutant) -> None:
         text = (ROOT / "railtide" / mutant.file).read_text()
         assert text.count(mutant.old) == 1
         assert mutant.old != mutant.new
--- a/tests/test_process_faults.py
+++ b/tests/test_process_faults.py
@@ -16,16 +16,16 @@
 
 @pytest.fixture
 def world() -> Iterator[Deployment]:
-    with deployment() as made:
-        make_world(made, lease_s=LEASE_S, heartbeat_s=0.5)
-        yield made
+    with deployment() as deployed:
+        make_world(deployed, lease_s=LEASE_S, heartbeat_s=0.5)
+        yield deployed
 
 
-def in_background(work, *args: object, **more: object) -> Future:
+def in_background(work, *args: object, **keywords: object) -> Future:
     pool = ThreadPoolExecutor(1)
-    future = pool.submit(work, *args, **more)
+    result = pool.submit(work, *args, **keywords)
     pool.shutdown(wait=False)
-    return future
+    return result
 
 
 def balance(world: Deployment) -> dict:
@@ -44,10 +44,10 @@
     def test_its_open_request_is_settled_once_and_answered_elsewhere(self, world) -> None:
         first, second = world.routers
         headers = {"idempotency-key": "menu-1"}
-        asked = in_background(chat, first.http, 60, **headers)
+        future = in_background(chat, first.http, 60, **headers)
         eventually(lambda: [run for run in runs_of(world.engine) if run["generated"]])
         first.kill()
-        assert asked.exception(timeout=60)
+        assert future.exception(timeout=60)
 
         def answered() -> bool:
             return chat(second.http, 60, **headers).status_code == 200
@@ -65,7 +65,7 @@
 
 
 class TestPausedRouter:
-    def test_it_is_fenced_wakes_and_gives_back_what_was_withheld(self, world) -> None:
+    def test_it_is_fenced_and_returns_withheld_units_after_resuming(self, world) -> None:
         first = world.routers[0]
         assert chat(first.http, 3).status_code == 200
         first.signal(signal.SIGSTOP)
@@ -78,35 +78,35 @@
 
 
 class TestLeavingRouter:
-    def test_sigterm_cuts_no_stream_and_gives_back(self, world) -> None:
+    def test_sigterm_finishes_streams_and_returns_allocations(self, world) -> None:
         first, second = world.routers
-        asked = in_background(chat, first.http, 60, stream=True)
+        future = in_background(chat, first.http, 60, stream=True)
         eventually(lambda: [run for run in runs_of(world.engine) if run["generated"]])
         first.signal(signal.SIGTERM)
-        answer = asked.result(timeout=60)
+        answer = future.result(timeout=60)
         assert answer.text.endswith("data: [DONE]\n\n")
         assert first.popen.wait(timeout=60) == 0
         url = f"http://{second.http}/v1/addresses"
-        told = httpx.get(url, headers=KEY, trust_env=False).json()["addresses"]
-        assert told == [second.http]
+        addresses = httpx.get(url, headers=KEY, trust_env=False).json()["addresses"]
+        assert addresses == [second.http]
         assert not [h for h in balance(world)["holders"] if h.startswith("i1/router")]
 
 
 class TestLogOutage:
-    def test_hands_serve_on_and_bills_follow(self, world) -> None:
+    def test_allocations_cover_requests_and_bills_follow(self, world) -> None:
         first = world.routers[0]
         assert chat(first.http, 3).status_code == 200
         down = json.dumps({"kind": "down"})
         httpx.post(f"http://{world.log.http}/faults", content=down, trust_env=False)
         eventually(lambda: not log_reachable(first))
         assert chat(first.http, 3).status_code == 200
-        once = httpx.post(
+        refused = httpx.post(
             f"http://{first.http}/services/crew/book/1",
             content="{}",
             headers=KEY | {"idempotency-key": "k"},
             trust_env=False,
         )
-        assert (once.status_code, once.json()["run"]) == (503, "not-run")
+        assert (refused.status_code, refused.json()["run"]) == (503, "not-run")
         assert not runs_of(world.service)
         httpx.delete(f"http://{world.log.http}/faults", trust_env=False)
         eventually(lambda: len(all_bills(world)) == 2)
@@ -118,7 +118,7 @@
 
 
 class TestKilledKeeper:
-    def test_router_goes_to_another_keeper(self, world) -> None:
+    def test_router_connects_to_another_keeper(self, world) -> None:
         first = world.routers[0]
         world.keepers[0].kill()
         eventually(lambda: log_reachable(first))
@@ -128,13 +128,13 @@
 
 
 class TestConfiguration:
-    def test_change_is_in_force_everywhere_at_every_router(self, world) -> None:
+    def test_change_takes_effect_at_every_router(self, world) -> None:
         body = {"models": ["brief"], "services": ["crew"], "weight": 5}
         world.publish("template", "base", body)
         for router in world.routers:
             eventually(lambda router=router: version(router) == 2)
 
-    def test_outdated_change_is_told_its_version(self, world) -> None:
+    def test_outdated_change_is_refused_with_the_current_version(self, world) -> None:
         done = world.ctl(
             *("publish", "template", "base", "-", "--base-version", "0"),
             *("--log-url", f"http://{world.log.http}"),
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""The whole path over real sockets: operator, caller, router, keeper, log, upstreams."""
+"""End-to-end tests over real sockets: operator, caller, router, keeper, log, upstreams."""
 
 import json
 import time
@@ -14,10 +14,10 @@
 
 
 def eventually(check: Callable[[], bool]) -> None:
-    """Wait until a check holds; fail after a generous time."""
+    """Wait until a check holds; fail after `WAIT_S`."""
     until = time.monotonic() + WAIT_S
     while not check():
-        assert time.monotonic() < until, "it did not happen"
+        assert time.monotonic() < until, f"the check did not hold within {WAIT_S} s"
         time.sleep(0.05)
 
 
@@ -58,28 +58,28 @@
     for router in world.routers:
         eventually(lambda router=router: ready(router.http))
     for router in world.routers:
-        eventually(lambda router=router: known(router.http))
+        eventually(lambda router=router: is_configured(router.http))
 
 
-def known(router: str) -> bool:
-    """Return whether the account and its upstreams are in force at a router."""
+def is_configured(router: str) -> bool:
+    """Return whether a router has the account and knows both upstreams."""
     status = httpx.get(f"http://{router}/admin/status", trust_env=False).json()
     return "account/bortolini" in status["versions"] and len(status["upstreams"]) == 2
 
 
 @pytest.fixture(scope="module")
 def world() -> Iterator[Deployment]:
-    with deployment() as made:
-        make_world(made)
-        yield made
+    with deployment() as deployed:
+        make_world(deployed)
+        yield deployed
 
 
-class TestWholePath:
-    def test_addresses_are_told(self, world: Deployment) -> None:
+class TestEndToEnd:
+    def test_addresses_of_all_routers_are_answered(self, world: Deployment) -> None:
         url = f"http://{world.routers[0].http}/v1/addresses"
-        told = httpx.get(url, headers=KEY, trust_env=False).json()
-        assert sorted(told["addresses"]) == sorted(r.http for r in world.routers)
-        assert told["keep_s"] == 0.2
+        answer = httpx.get(url, headers=KEY, trust_env=False).json()
+        assert sorted(answer["addresses"]) == sorted(r.http for r in world.routers)
+        assert answer["keep_s"] == 0.2
 
     def test_completion_is_answered_and_billed_at_its_cost(self, world: Deployment) -> None:
         before = world.ctl_log("bills", "bortolini")
@@ -91,7 +91,7 @@
         assert [bill["request_id"] for bill in bills] == [answer.json()["id"]]
         assert bills[0]["cost"] == usage["prompt_tokens"] + 2 * 7
 
-    def test_stream_is_whole(self, world: Deployment) -> None:
+    def test_stream_is_complete(self, world: Deployment) -> None:
         answer = chat(world.routers[1].http, 9, stream=True)
         events = answer.text.split("\n\n")
         assert events[-2:] == ["data: [DONE]", ""]
--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -1,4 +1,4 @@
-"""Tests of bench.refusals: causes from the lines of routers."""
+"""Tests of bench.refusals: causes of budget refusals, derived from the logs of routers."""
 
 import msgspec
 
@@ -9,15 +9,15 @@
 
 
 def line(event: str, **fields: object) -> str:
-    return "  12.5 i1 " + bare(event, **fields)
+    return "  12.5 i1 " + event_json(event, **fields)
 
 
-def bare(event: str, **fields: object) -> str:
+def event_json(event: str, **fields: object) -> str:
     return msgspec.json.encode({"event": event, **fields}).decode()
 
 
 class TestSummary:
-    def test_causes_are_told_apart_and_other_text_is_passed_over(self) -> None:
+    def test_causes_are_distinguished_and_other_text_is_skipped(self) -> None:
         refused = {"amount": 50, "in_hand": 10, "prepaid": 1000, "committed": 600, "reported": 400}
         texts = [
             line("budget-refused", request_id="r1", **refused, store_reached=False),
@@ -39,7 +39,7 @@
         }
         assert (summary.written_off, summary.returned) == (30, 70)
 
-    def test_written_off_is_told_apart_from_spent_where_the_line_says_it(self) -> None:
+    def test_written_off_is_distinguished_from_spent_where_the_line_has_it(self) -> None:
         refused = {"amount": 50, "in_hand": 10, "prepaid": 1000, "committed": 980}
         refused |= {"reported": 980, "account": "a"}
         texts = [
@@ -58,12 +58,12 @@
         for cause in RefusalCause:
             assert cause_of(Line("budget-refused", cause=cause, written_off=0))
 
-    def test_account_is_shown_at_its_first_and_last_refusal(self) -> None:
+    def test_account_is_shown_at_first_and_last_refusal(self) -> None:
         texts = [
-            "20.1 i1 " + bare("budget-refused", account="a", prepaid=100, committed=60),
-            "21.7 i2 " + bare("budget-refused", account="b", prepaid=100, committed=1),
-            "21.9 i1 " + bare("budget-refused", account="a", prepaid=100, committed=70),
-            "25.0 i1 " + bare("budget-refused", account="a", prepaid=100, committed=99),
+            "20.1 i1 " + event_json("budget-refused", account="a", prepaid=100, committed=60),
+            "21.7 i2 " + event_json("budget-refused", account="b", prepaid=100, committed=1),
+            "21.9 i1 " + event_json("budget-refused", account="a", prepaid=100, committed=70),
+            "25.0 i1 " + event_json("budget-refused", account="a", prepaid=100, committed=99),
         ]
         summary = summary_of(lines_of(texts))
         refused = summary.refused_by_account["a"]
@@ -88,7 +88,7 @@
         rows = [row.split() for row in table_of(summary) if "first ledger" in row]
         assert rows == [["first", "ledger", "12.50", "100", "40%", "5%", "50%", "5%"]]
 
-    def test_hands_are_summed_by_process_and_what_the_clocks_said(self) -> None:
+    def test_closed_allocations_are_summed_by_process_and_clock_evidence(self) -> None:
         unproved = {"service": "i1", "clocks": "another-boot"}
         proved = {"service": "i1", "clocks": "proved", "since_report_s": 0.4}
         texts = [
@@ -114,7 +114,7 @@
         assert "hands of dead processes: 19 written off, 9 returned" in table
         assert "i1 another-boot: 2 hands, 12 written off, 0 returned" in table
 
-    def test_answers_and_the_way_back_are_told(self) -> None:
+    def test_retry_times_and_startup_times_are_shown(self) -> None:
         texts = [
             line("request", code="not-ready", retry_after_s=0.2),
             line("request", code="not-ready", retry_after_s=4.0),
@@ -129,9 +129,12 @@
 
 class TestTimes:
     def test_number_before_the_line_is_its_time(self) -> None:
-        texts = [f"{at} i1 " + bare("request", time=TIME) for at in ("3.5", "9", "12.25")]
+        texts = [f"{at} i1 " + event_json("request", time=TIME) for at in ("3.5", "9", "12.25")]
         assert [line.at_s for line in since(lines_of(texts), 9.0)] == [9.0, 12.25]
 
-    def test_line_by_itself_counts_from_the_first_one(self) -> None:
-        texts = [bare("request", time=TIME), bare("request", time=TIME.replace(":01.", ":03."))]
+    def test_line_without_a_number_is_timed_from_the_first_one(self) -> None:
+        texts = [
+            event_json("request", time=TIME),
+            event_json("request", time=TIME.replace(":01.", ":03.")),
+        ]
         assert [line.at_s for line in lines_of(texts)] == [0.0, 2.0]
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Tests of railtide.settings: flags, environment, and a start without either."""
+"""Tests of railtide.settings: flags, environment and defaults; and of what a start loads."""
 
 import gc
 import subprocess
@@ -10,7 +10,7 @@
 from railtide.process import relax_gc
 from railtide.settings import EXIT_SETTINGS, InvalidSetting, run_program
 
-NEEDLESS_AT_A_START = (
+MODULES_NOT_NEEDED_AT_START = (
     "defopt",
     "docutils",
     "opentelemetry.sdk.trace",
@@ -20,7 +20,7 @@
 )
 
 
-def keep(*, size: int = 3) -> int:
+def with_default(*, size: int = 3) -> int:
     """Return the size.
 
     :param size: any
@@ -28,7 +28,7 @@
     return size
 
 
-def need(*, size: int) -> int:
+def with_required(*, size: int) -> int:
     """Return the size.
 
     :param size: any
@@ -42,20 +42,20 @@
 
 
 class TestRunProgram:
-    def test_without_flags_the_defaults_hold(self) -> None:
-        assert run_program(keep, "KEEP", []) == 3
+    def test_defaults_apply_without_flags(self) -> None:
+        assert run_program(with_default, "KEEP", []) == 3
 
-    def test_flag_goes_before_the_environment(self, monkeypatch: pytest.MonkeyPatch) -> None:
+    def test_flag_overrides_the_environment(self, monkeypatch: pytest.MonkeyPatch) -> None:
         monkeypatch.setenv("KEEP_SIZE", "4")
-        assert run_program(keep, "KEEP", []) == 4
-        assert run_program(keep, "KEEP", ["--size", "5"]) == 5
+        assert run_program(with_default, "KEEP", []) == 4
+        assert run_program(with_default, "KEEP", ["--size", "5"]) == 5
 
-    def test_missing_flag_is_named(self, capsys: pytest.CaptureFixture[str]) -> None:
+    def test_missing_flag_is_reported(self, capsys: pytest.CaptureFixture[str]) -> None:
         with pytest.raises(SystemExit):
-            run_program(need, "NEED", [])
+            run_program(with_required, "NEED", [])
         assert "--size" in capsys.readouterr().err
 
-    def test_wrong_setting_ends_with_its_code(self, capsys: pytest.CaptureFixture[str]) -> None:
+    def test_invalid_setting_exits_with_its_code(self, capsys: pytest.CaptureFixture[str]) -> None:
         with pytest.raises(SystemExit) as end:
             run_program(refuse, "REFUSE", [])
         assert end.value.code == EXIT_SETTINGS
@@ -63,21 +63,23 @@
 
 
 class TestStart:
-    def test_edge_router_loads_nothing_that_it_does_not_use(self) -> None:
-        """Each start would pay for it: processor time before the first answer, and memory."""
+    def test_edge_router_loads_no_unused_modules(self) -> None:
+        """Unused modules cost processor time before the first answer, and memory."""
         code = "import sys, railtide.platform.program; print(*sys.modules)"
         done = subprocess.run([sys.executable, "-c", code], capture_output=True, check=True)
         loaded = set(done.stdout.decode().split())
-        assert loaded.isdisjoint(NEEDLESS_AT_A_START)
+        assert loaded.isdisjoint(MODULES_NOT_NEEDED_AT_START)
 
-    def test_collector_rests_while_parts_are_loaded(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        seen: list[bool] = []
+    def test_garbage_collector_is_off_while_modules_are_loaded(
+        self, monkeypatch: pytest.MonkeyPatch
+    ) -> None:
+        enabled_during_main: list[bool] = []
         thresholds = gc.get_threshold()
-        monkeypatch.setattr(program, "main", lambda: seen.append(gc.isenabled()))
+        monkeypatch.setattr(program, "main", lambda: enabled_during_main.append(gc.isenabled()))
         try:
             start.main()
             relax_gc()
-            assert (seen, gc.isenabled()) == ([False], True)
+            assert (enabled_during_main, gc.isenabled()) == ([False], True)
         finally:
             gc.enable()
             gc.set_threshold(*thresholds)
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -1,12 +1,10 @@
-"""A machine that is suspended, by clocks of its own: what this process believes when it wakes.
-
-Story. A machine may be suspended for seconds; its steady clock does not count them, the clock since
-boot and the time of day do. Told by users as a case to come, shown here: a router's machine sleeps
-for 10 s, and the time of day is set back by about as much meanwhile. The router then proves by two
-clocks that agree that 2 s have passed since a dead router's last report, and gives out again what
-that one had 12 s to spend. Cause: both of its clocks left the suspension out. Leases, ages of
-records and deadlines were counted in the same clock: all of them stood still while the others went
-on.
+"""Time spent suspended counts as elapsed time, in a process on a machine that was suspended.
+
+The monotonic clock doesn't count a suspension; the clock since boot and the wall clock do. If a
+router's machine is suspended for 10 s and its wall clock is set back by about as much meanwhile,
+the monotonic and the wall clock agree that 2 s have passed since a dead router's last report. The
+router would then grant units again that the dead one had 12 s to spend. Leases, ages of records
+and deadlines would stand still in the same way while those of other machines went on.
 """
 
 import time as real_time
@@ -27,26 +25,26 @@
 
 @dataclass
 class Machine:
-    """The clocks of a machine, as the module `time` gives them."""
+    """The clocks of a machine, with the interface of the module `time`."""
 
     since_boot_s: float = 1000.0
     suspended_s: float = 0.0
-    day_s: float = 1_790_000_000.0
+    wall_s: float = 1_790_000_000.0
     CLOCK_BOOTTIME: int = real_time.CLOCK_BOOTTIME
 
-    def go_on(self, seconds: float) -> None:
+    def advance(self, seconds: float) -> None:
         self.since_boot_s += seconds
-        self.day_s += seconds
+        self.wall_s += seconds
 
     def suspend(self, seconds: float) -> None:
         self.suspended_s += seconds
-        self.go_on(seconds)
+        self.advance(seconds)
 
     def monotonic(self) -> float:
         return self.since_boot_s - self.suspended_s
 
     def time(self) -> float:
-        return self.day_s
+        return self.wall_s
 
     def clock_gettime(self, clock: int) -> float:
         return self.since_boot_s if clock == self.CLOCK_BOOTTIME else self.monotonic()
@@ -60,43 +58,41 @@
         monkeypatch.setattr(clocks, "time", machine)
         return machine
 
-    def test_suspension_counts_as_time_that_passed(self, machine: Machine) -> None:
+    def test_suspension_counts_as_elapsed_time(self, machine: Machine) -> None:
         kernel = process.KernelClocks("boot")
-        made = kernel.read()
-        machine.go_on(REPORTED_S)
+        earlier = kernel.read()
+        machine.advance(REPORTED_S)
         machine.suspend(SUSPENDED_S)
-        assert elapsed_s(made, kernel.read()) == REPORTED_S + SUSPENDED_S
+        assert elapsed_s(earlier, kernel.read()) == REPORTED_S + SUSPENDED_S
 
-    def test_time_of_day_set_back_by_the_suspension_proves_nothing(self, machine: Machine) -> None:
+    def test_wall_clock_set_back_by_the_suspension_proves_nothing(self, machine: Machine) -> None:
         kernel = process.KernelClocks("boot")
-        made = kernel.read()
-        machine.go_on(REPORTED_S)
+        earlier = kernel.read()
+        machine.advance(REPORTED_S)
         machine.suspend(SUSPENDED_S)
-        machine.day_s -= SUSPENDED_S
-        assert elapsed_s(made, kernel.read()) is None
+        machine.wall_s -= SUSPENDED_S
+        assert elapsed_s(earlier, kernel.read()) is None
 
-    def test_clock_that_begins_anew_under_the_same_boot_proves_nothing(
-        self, machine: Machine
-    ) -> None:
+    def test_clock_that_restarts_under_the_same_boot_proves_nothing(self, machine: Machine) -> None:
         kernel = process.KernelClocks("boot")
-        made = kernel.read()
-        machine.go_on(REPORTED_S)
+        earlier = kernel.read()
+        machine.advance(REPORTED_S)
         machine.since_boot_s = 900.0
-        assert elapsed_s(made, kernel.read()) is None
+        assert elapsed_s(earlier, kernel.read()) is None
         machine.since_boot_s = 1500.0
-        assert elapsed_s(made, kernel.read()) is None
+        assert elapsed_s(earlier, kernel.read()) is None
 
 
 class TestBootTimeClock:
-    def test_wait_that_a_suspension_outlasts_ends_on_waking(self) -> None:
-        asleep_s = 0.0
+    def test_wait_shorter_than_a_suspension_ends_on_resume(self) -> None:
+        suspended_s = 0.0
 
         def read() -> float:
-            return real_time.monotonic() + asleep_s
+            return real_time.monotonic() + suspended_s
 
         def suspend() -> None:
-            nonlocal asleep_s
-            asleep_s = 60.0
+            nonlocal suspended_s
+            suspended_s = 60.0
 
         async def scenario() -> float:
             began = real_time.monotonic()
@@ -107,15 +103,15 @@
         assert trio.run(scenario, clock=BootTimeClock(read)) <= 4 * MOST_SLEEP_S
 
     def test_ages_count_the_suspension(self) -> None:
-        asleep_s = 0.0
+        suspended_s = 0.0
 
         async def scenario() -> float:
-            nonlocal asleep_s
-            heard_at = trio.current_time()
-            asleep_s = 7.0
-            return trio.current_time() - heard_at
+            nonlocal suspended_s
+            started_at = trio.current_time()
+            suspended_s = 7.0
+            return trio.current_time() - started_at
 
-        clock = BootTimeClock(lambda: real_time.monotonic() + asleep_s)
+        clock = BootTimeClock(lambda: real_time.monotonic() + suspended_s)
         assert trio.run(scenario, clock=clock) >= 7.0
 
     def test_edge_router_runs_on_it(self, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -128,17 +124,17 @@
 
 
 class TestSuspensions:
-    def test_freeze_is_none(self) -> None:
+    def test_pause_of_the_process_is_not_a_suspension(self) -> None:
         now_s = 100.0
         suspensions = Suspensions(lambda: now_s, lambda: now_s - 40.0)
         now_s += 30.0
         assert suspensions.look() == 0.0
 
-    def test_each_one_is_told_once(self) -> None:
+    def test_each_suspension_is_reported_once(self) -> None:
         machine = Machine()
         suspensions = Suspensions(lambda: machine.since_boot_s, machine.monotonic)
         machine.suspend(3.0)
         assert (suspensions.look(), suspensions.look()) == (3.0, 0.0)
-        machine.go_on(5.0)
+        machine.advance(5.0)
         machine.suspend(0.5)
         assert suspensions.look() == 0.5
