--- a/tests/matrix/checks.py
+++ b/tests/matrix/checks.py
@@ -1,4 +1,4 @@
-"""What must hold after every cell, read from the log, the upstreams and the callers."""
+"""Invariants after each run of the matrix, checked on the log, the upstreams and the callers."""
 
 import json
 import re
@@ -21,7 +21,13 @@
 
 @dataclass
 class Ledger:
-    """The log folded from its first record, with each request's bills that took effect."""
+    """The state folded from all records of the log, with the accepted intents and bills.
+
+    Attributes
+    ----------
+    overdrawn : list of str
+        Accounts whose balance was negative after a record, with its offset.
+    """
 
     state: State = field(default_factory=State)
     account_by_request: dict[str, str] = field(default_factory=dict)
@@ -50,7 +56,7 @@
 
 
 def true_costs(world: World) -> dict[str, int]:
-    """Return what each request truly used at upstreams, all its tries together."""
+    """Return the units that each request used at upstreams, summed over its attempts."""
     by_request: dict[str, int] = {}
     for engine in [*world.platform.engines.values(), *world.dead_engines]:
         for run in engine.runs_by_id.values():
@@ -64,13 +70,13 @@
 
 
 def check_all(world: World) -> None:
-    """Check every promise."""
+    """Check every invariant."""
     ledger = read_ledger(world)
     check_no_overspend(world, ledger)
-    check_sent_is_covered(world)
+    check_sent_within_allocations(world)
     check_billed_once(world, ledger)
-    check_answers_whole(world)
-    check_not_run_is_true(world)
+    check_answers_complete(world)
+    check_not_run_is_correct(world)
     check_once_calls(world)
     check_leaving_upstreams(world)
     check_drain(world)
@@ -91,10 +97,10 @@
         assert ledger.state.by_account[account].billed <= units
 
 
-def check_sent_is_covered(world: World) -> None:
+def check_sent_within_allocations(world: World) -> None:
     for name, process in world.routers.items():
         uncovered = process.router.counters.value("sent_intents_uncovered")
-        assert uncovered == 0, f"{name} sent what its holder could not cover"
+        assert uncovered == 0, f"{name} sent requests that its allocation did not cover"
 
 
 def check_billed_once(world: World, ledger: Ledger) -> None:
@@ -107,7 +113,7 @@
         if attempt.answered and not attempt.request.headers.get("idempotency-key"):
             request_id = attempt.sink.request_id
             bill = ledger.bills_by_request.get(request_id, [None])[-1]
-            if bill is None and _lost_with_its_router(world, attempt):
+            if bill is None and _is_bill_lost_with_router(world, attempt):
                 continue
             assert bill is not None, f"{attempt.marker} was answered and not billed"
             assert bill.cost + bill.wasted >= costs[request_id], f"{attempt.marker}: {bill}"
@@ -119,7 +125,7 @@
             if ledger.key_by_request[request_id] == key and bills[-1].outcome is not Outcome.NOT_RUN
         ]
         answered = [a for a in world.attempts if a.answered and a.key == key]
-        if not counted and any(_lost_with_its_router(world, a) for a in answered):
+        if not counted and any(_is_bill_lost_with_router(world, a) for a in answered):
             continue
         assert len(counted) == 1, f"key {key} has {len(counted)} bills"
 
@@ -133,16 +139,16 @@
     return int(usage[1]) + TOKEN_PRICE * int(usage[2])
 
 
-def _lost_with_its_router(world: World, attempt: Attempt) -> bool:
-    """Return whether the answer was given in a log outage by a router that then died.
+def _is_bill_lost_with_router(world: World, attempt: Attempt) -> bool:
+    """Return whether the answer was given in a log outage by a router that was then killed.
 
-    Its bill waited in that router's memory: the one gap in "billed exactly once" that
-    docs/design/requests.md grants. What it used is withheld, so that nothing is overspent.
+    Its bill was only in that router's memory: the one exception to "billed exactly once" that
+    docs/design/requests.md allows. What it used is withheld, so that nothing is overspent.
     """
     return attempt.log_was_down and attempt.router in world.killed_routers
 
 
-def check_answers_whole(world: World) -> None:
+def check_answers_complete(world: World) -> None:
     for attempt in world.attempts:
         if attempt.answered:
             _check_answer(attempt)
@@ -160,18 +166,18 @@
         assert answer["choices"][0]["message"]["content"] == "".join(wanted)
         return
     events = body.decode().split("\n\n")
-    assert events[-2:] == ["data: [DONE]", ""], f"{attempt.marker} has no end mark"
+    assert events[-2:] == ["data: [DONE]", ""], f"{attempt.marker} has no end marker"
     chunks = [json.loads(event.partition("data: ")[2]) for event in events[:-2]]
     assert [chunk["choices"][0]["delta"]["content"] for chunk in chunks] == wanted
     assert len({chunk["id"] for chunk in chunks}) == 1
 
 
-def check_not_run_is_true(world: World) -> None:
+def check_not_run_is_correct(world: World) -> None:
     ran = true_costs(world)
     for attempt in world.attempts:
         if attempt.error and attempt.error.run is Run.NOT_RUN and attempt.call:
-            said = f"{attempt.marker} ran, but {attempt.error.code} said not-run"
-            assert not [r for r in ran if r.startswith(attempt.call.request_id)], said
+            message = f"{attempt.marker} ran, but {attempt.error.code} reported not-run"
+            assert not [r for r in ran if r.startswith(attempt.call.request_id)], message
 
 
 def check_once_calls(world: World) -> None:
@@ -189,7 +195,7 @@
             for at, upstream, request_id in world.platform.starts
             if upstream == name and at > left_at + LEAVING_GRACE_S
         ]
-        assert late == [], f"{name} got new work after it left"
+        assert late == [], f"{name} got new requests after it left"
 
 
 def check_drain(world: World) -> None:
@@ -205,13 +211,13 @@
     for submissions in world.races:
         assert sum(1 for t in submissions if t.verdict and t.verdict.ok) == 1
     for name, process in world.routers.items():
-        if not process.gone.is_set():
+        if not process.ended.is_set():
             assert process.router.directory.version("template", "base") == 2, name
 
 
 def check_settled(world: World, ledger: Ledger) -> None:
     state = ledger.state
-    assert state.registry.by_request_id == {}, "requests are left open"
+    assert state.registry.by_request_id == {}, "requests are still open"
     for account, balance in state.by_account.items():
         held = sum(holding.remaining for holding in balance.by_holder.values())
         used = balance.billed + balance.wasted
--- a/tests/matrix/ports.py
+++ b/tests/matrix/ports.py
@@ -1,6 +1,6 @@
-"""Fakes at the interfaces of one process: its ways to the log, the list, upstreams and keepers.
+"""Fakes of a process's connections to the log, the instance list, upstreams and keepers.
 
-Each goes through a `Port`, where its process can be paused, cut off or dead.
+Each goes through the `Port` of its process, which can pause, partition or kill the process.
 """
 
 import math
@@ -36,12 +36,18 @@
 HOP_S = 0.0005
 LOG_TIMEOUT_S = 5.0
 
-Reached = Callable[[str, str, str], Awaitable[None]]
+StepHook = Callable[[str, str, str], Awaitable[None]]
 
 
 @dataclass
 class Port:
-    """The way of one process to everything else."""
+    """Network access of one process.
+
+    Attributes
+    ----------
+    log_cut, peers_cut : bool
+        Whether the log, and the other keepers, are unreachable for the process.
+    """
 
     name: str
     dead: bool = False
@@ -59,35 +65,41 @@
     def resume(self) -> None:
         self.running.set()
 
-    async def gate(self) -> None:
-        """Wait while paused; a dead process never comes back."""
+    async def wait_while_paused(self) -> None:
+        """Wait while paused; in a dead process, wait for ever."""
         while not self.running.is_set():
             await self.running.wait()
         if self.dead:
             await trio.sleep_forever()
 
 
-class RememberingLog(LogStore):
-    """A log that lets the checks see the journal from its first record."""
+class UncompactedLog(LogStore):
+    """A log that also keeps the expired records of the journal, for the checks."""
 
     def __init__(self, now_ms: Callable[[], int]) -> None:
         super().__init__(now_ms)
-        self.everything: list[LogRecord] = []
+        self.all_records: list[LogRecord] = []
 
     def append(self, name: str, data: bytes) -> int:
         offset = super().append(name, data)
         if name == "journal":
-            self.everything.append(self.records(name)[-1])
+            self.all_records.append(self.records(name)[-1])
         return offset
 
 
 @dataclass
 class Platform:
-    """What all processes share: the log, the instance list, upstreams by address."""
+    """What all processes share: the log, the instance list, upstreams by address.
+
+    Attributes
+    ----------
+    starts : list of tuple of float, str and str
+        Trio time, upstream's address and request id of each request that arrived at an upstream.
+    """
 
-    log: RememberingLog
+    log: UncompactedLog
     instances: InstanceStore
-    reached: Reached
+    on_step: StepHook
     log_faults: Faults = field(default_factory=Faults)
     list_faults: Faults = field(default_factory=Faults)
     log_down: bool = False
@@ -97,7 +109,7 @@
     starts: list[tuple[float, str, str]] = field(default_factory=list)
 
 
-def steps_of(data: bytes) -> set[tuple[str, str]]:
+def append_steps(data: bytes) -> set[tuple[str, str]]:
     """Return the step and the instance of each entry in an append."""
     found = set()
     for entry in batch_from_bytes(data):
@@ -110,20 +122,20 @@
 
 
 class PortLog(LogClient):
-    """The log as one process reaches it."""
+    """The log, accessed through a process's port."""
 
     def __init__(self, platform: Platform, port: Port) -> None:
         self._platform = platform
         self._port = port
 
     async def append(self, stream: str, data: bytes) -> int:
-        steps = steps_of(data) if stream == "journal" else {("checkpoint", self._port.name)}
-        await self._reach(steps, "before")
+        steps = append_steps(data) if stream == "journal" else {("checkpoint", self._port.name)}
+        await self._report_step(steps, "before")
         await self._check("append")
         offset = self._platform.log.append(stream, data)
-        await self._reach(steps, "during")
+        await self._report_step(steps, "during")
         await self._check_answer()
-        await self._reach(steps, "after")
+        await self._report_step(steps, "after")
         return offset
 
     async def read(self, stream: str, start: int, limit: int, wait_s: float) -> Page:
@@ -132,21 +144,21 @@
         await self._check("read")
         return page
 
-    async def _reach(self, steps: set[tuple[str, str]], moment: str) -> None:
+    async def _report_step(self, steps: set[tuple[str, str]], moment: str) -> None:
         for step, actor in sorted(steps):
-            await self._platform.reached(step, moment, actor)
+            await self._platform.on_step(step, moment, actor)
 
     async def _check(self, what: str) -> None:
-        await self._port.gate()
+        await self._port.wait_while_paused()
         slow = self._platform.log_faults.take(FaultKind.SLOW, what)
         await trio.sleep(slow.seconds if slow else LOG_DELAY_S)
-        await self._port.gate()
+        await self._port.wait_while_paused()
         if self._platform.log_down or self._port.log_cut:
             await trio.sleep(0.5)
             raise LogUnavailable("down")
 
     async def _check_answer(self) -> None:
-        await self._port.gate()
+        await self._port.wait_while_paused()
         if self._platform.log_faults.take(FaultKind.LOST, "append"):
             await trio.sleep(LOG_TIMEOUT_S)
             raise LogUnavailable("the answer was lost")
@@ -156,14 +168,14 @@
 
 
 class PortInstances(InstanceList):
-    """The instance list as one process reaches it."""
+    """The instance list, accessed through a process's port."""
 
     def __init__(self, platform: Platform, port: Port) -> None:
         self._platform = platform
         self._port = port
 
     async def fetch(self) -> list[Instance]:
-        await self._port.gate()
+        await self._port.wait_while_paused()
         await trio.sleep(HOP_S)
         if self._platform.list_faults.take(FaultKind.DOWN):
             raise InstanceListUnavailable("down")
@@ -171,19 +183,19 @@
 
 
 class PortLink(Link):
-    """A link of which one end belongs to a process that may be paused or dead."""
+    """One end of a link, accessed through a process's port."""
 
     def __init__(self, link: Link, port: Port) -> None:
         self._link = link
         self._port = port
 
     async def send(self, message: Message, silence_s: float = math.inf) -> None:
-        await self._port.gate()
+        await self._port.wait_while_paused()
         await self._link.send(message, silence_s)
 
     async def receive(self, silence_s: float = math.inf) -> Message:
         message = await self._link.receive(silence_s)
-        await self._port.gate()
+        await self._port.wait_while_paused()
         return message
 
     async def aclose(self) -> None:
@@ -191,15 +203,15 @@
 
 
 class PortUpstreams(UpstreamClient):
-    """Engines and services as one router reaches them."""
+    """Engines and services, accessed through a router's port."""
 
     def __init__(self, platform: Platform, port: Port) -> None:
         self._platform = platform
         self._port = port
 
     async def open(self, upstream: Instance, call: UpstreamCall) -> UpstreamAnswer:
-        await self._platform.reached("dispatch", "before", self._port.name)
-        await self._port.gate()
+        await self._platform.on_step("dispatch", "before", self._port.name)
+        await self._port.wait_while_paused()
         await trio.sleep(HOP_S)
         faults = self._faults_or_refuse(upstream)
         slow = faults.take(FaultKind.SLOW)
@@ -228,12 +240,12 @@
     ) -> UpstreamAnswer:
         service = self._platform.services[upstream.address]
         body = await service.call(call.request_id, call.path, call.body.decode())
-        await self._platform.reached("dispatch", "during", self._port.name)
-        await self._port.gate()
+        await self._platform.on_step("dispatch", "during", self._port.name)
+        await self._port.wait_while_paused()
         if faults.take(FaultKind.LOST):
             raise UpstreamLost("lost")
         answer_id = "other" if faults.take(FaultKind.CROSS) else call.request_id
-        return _PortAnswer(self, answer_id, "application/json", _once(body))
+        return _PortAnswer(self, answer_id, "application/json", _single_chunk(body))
 
     async def _open_engine(
         self, upstream: Instance, call: UpstreamCall, faults: Faults
@@ -245,16 +257,16 @@
                 raise UpstreamLost("unknown stream")
         else:
             run = engine.start(call.request_id, msgspec.json.decode(call.body, type=EngineBody))
-        await self._platform.reached("dispatch", "during", self._port.name)
-        await self._port.gate()
+        await self._platform.on_step("dispatch", "during", self._port.name)
+        await self._port.wait_while_paused()
         if faults.take(FaultKind.LOST):
             raise UpstreamLost("lost")
         answer_id = "rt-other" if faults.take(FaultKind.CROSS) else call.request_id
-        chunks = follow_run(run, answer_id, faults) if run.stream else _whole(run, answer_id)
+        chunks = follow_run(run, answer_id, faults) if run.stream else _full_body(run, answer_id)
         kind = "text/event-stream" if run.stream else "application/json"
-        return _PortAnswer(self, answer_id, kind, self._while_there(upstream, chunks))
+        return _PortAnswer(self, answer_id, kind, self._until_killed(upstream, chunks))
 
-    async def _while_there(
+    async def _until_killed(
         self, upstream: Instance, chunks: AsyncIterator[bytes]
     ) -> AsyncIterator[bytes]:
         async for chunk in chunks:
@@ -262,18 +274,18 @@
                 raise UpstreamLost("the engine died")
             yield chunk
 
-    async def pass_chunk(self, number: int) -> None:
-        """Reach the steps of an answer's chunks."""
+    async def report_chunk(self, number: int) -> None:
+        """Report the step of an answer's chunk, and wait while paused."""
         step = "first-byte" if number == 0 else "mid-stream"
-        await self._platform.reached(step, "during", self._port.name)
-        await self._port.gate()
+        await self._platform.on_step(step, "during", self._port.name)
+        await self._port.wait_while_paused()
 
-    async def end_answer(self) -> None:
-        await self._platform.reached("answer-end", "during", self._port.name)
-        await self._port.gate()
+    async def report_end(self) -> None:
+        await self._platform.on_step("answer-end", "during", self._port.name)
+        await self._port.wait_while_paused()
 
     async def run_report(self, upstream: Instance, request_id: str) -> RunReport:
-        await self._port.gate()
+        await self._port.wait_while_paused()
         await trio.sleep(HOP_S)
         service = self._platform.services.get(upstream.address)
         engine = self._platform.engines.get(upstream.address)
@@ -284,14 +296,14 @@
         return engine.run_report(request_id)
 
     async def cancel(self, upstream: Instance, request_id: str) -> RunReport:
-        await self._port.gate()
+        await self._port.wait_while_paused()
         engine = self._platform.engines.get(upstream.address)
         if engine:
             return engine.cancel(request_id)
         return await self.run_report(upstream, request_id)
 
     async def load(self, upstream: Instance) -> LoadReport:
-        await self._port.gate()
+        await self._port.wait_while_paused()
         engine = self._platform.engines.get(upstream.address)
         service = self._platform.services.get(upstream.address)
         if engine:
@@ -314,20 +326,20 @@
     async def chunks(self) -> AsyncIterator[bytes]:
         number = 0
         async for chunk in self._chunks:
-            await self._client.pass_chunk(number)
+            await self._client.report_chunk(number)
             number += 1
             yield chunk
-        await self._client.end_answer()
+        await self._client.report_end()
 
     async def aclose(self) -> None:
         await self._chunks.aclose()
 
 
-async def _once(body: bytes) -> AsyncIterator[bytes]:
+async def _single_chunk(body: bytes) -> AsyncIterator[bytes]:
     yield body
 
 
-async def _whole(run: EngineRun, answer_id: str) -> AsyncIterator[bytes]:
+async def _full_body(run: EngineRun, answer_id: str) -> AsyncIterator[bytes]:
     while not run.done:
         if run.cancelled:
             raise UpstreamLost("cancelled")
--- a/tests/matrix/scenario.py
+++ b/tests/matrix/scenario.py
@@ -1,4 +1,4 @@
-"""The traffic of one cell, the fault that strikes it at its step, and the faults there are."""
+"""The traffic of one run, the triggers that inject faults into it, and all faults and steps."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
@@ -16,21 +16,24 @@
 PAUSE_S = 15.0
 TRAFFIC_S = 8.0
 SETTLE_S = 36.0
-TRIES = 14
-TRY_PAUSE_S = 1.0
+MAX_ATTEMPTS = 14
+RETRY_INTERVAL_S = 1.0
 
-Strike = Callable[[World], Awaitable[None]]
+Injection = Callable[[World], Awaitable[None]]
 
 
 @dataclass
 class Trigger:
-    """Strikes once, when a step is reached at the victim for the `nth` time."""
+    """Injects a fault once, when a step occurs at `VICTIM` for the `nth` time.
+
+    Checkpoints, proposals and leaving count wherever they occur.
+    """
 
     step: str
     moment: str
-    strike: Strike
+    inject: Injection
     nth: int = 1
-    struck: bool = False
+    injected: bool = False
     seen: int = 0
 
     def matches(self, step: str, moment: str, actor: str) -> bool:
@@ -38,33 +41,33 @@
         if (step, moment) != (self.step, self.moment) or not (anyone or actor == VICTIM):
             return False
         self.seen += 1
-        return self.seen >= self.nth and not self.struck
+        return self.seen >= self.nth and not self.injected
 
 
 @dataclass
 class Cell:
-    """One run: its triggers and its world."""
+    """One run of the matrix: its triggers and its world."""
 
     triggers: list[Trigger] = field(default_factory=list)
     world: World | None = None
 
-    async def reached(self, step: str, moment: str, actor: str) -> None:
+    async def on_step(self, step: str, moment: str, actor: str) -> None:
         if not self.world.built:
             return
         for trigger in self.triggers:
             if trigger.matches(step, moment, actor):
-                trigger.struck = True
-                self.world.nursery.start_soon(trigger.strike, self.world)
+                trigger.injected = True
+                self.world.nursery.start_soon(trigger.inject, self.world)
                 await trio.lowlevel.checkpoint()
 
 
 async def run_cell(
     triggers: list[Trigger], check: Callable[[World], None], template: dict = TEMPLATE
 ) -> World:
-    """Run the traffic with the triggers and check the world at the end."""
+    """Run the traffic with the triggers, wait `SETTLE_S` and check the world."""
     cell = Cell(triggers)
     async with trio.open_nursery() as nursery:
-        world = World(nursery, cell.reached, template)
+        world = World(nursery, cell.on_step, template)
         cell.world = world
         await world.build()
         world.built = True
@@ -78,19 +81,19 @@
 
 def _start_traffic(world: World, nursery: trio.Nursery) -> None:
     for index, router in enumerate(("i1", "i2", "i1", "i3")):
-        nursery.start_soon(_plain_caller, world, router, f"plain{index}")
+        nursery.start_soon(_keyless_caller, world, router, f"plain{index}")
     for index in range(3):
         nursery.start_soon(_keyed_caller, world, "bortolini", f"keyed{index}", index)
     for index in range(2):
         nursery.start_soon(_booking_caller, world, f"hole{index}", index)
     nursery.start_soon(_keyed_caller, world, "pantry", "menu", 1)
-    nursery.start_soon(_greedy_caller, world)
+    nursery.start_soon(_exhausting_caller, world)
     nursery.start_soon(_publisher, world)
-    nursery.start_soon(_drainer, world)
+    nursery.start_soon(_draining_operator, world)
 
 
-async def _plain_caller(world: World, router: str, name: str) -> None:
-    """Stream without keys, one after another."""
+async def _keyless_caller(world: World, router: str, name: str) -> None:
+    """Send streaming requests without keys, one after another."""
     number = 0
     until = trio.current_time() + TRAFFIC_S
     while trio.current_time() < until:
@@ -100,16 +103,16 @@
         attempt = await world.attempt(router, "bortolini", marker, request)
         if not attempt.answered:
             router = world.other_router(router)
-            await trio.sleep(TRY_PAUSE_S)
+            await trio.sleep(RETRY_INTERVAL_S)
         await trio.sleep(0.2)
 
 
 async def _keyed_caller(world: World, account: str, name: str, index: int) -> None:
-    """Ask for the same things again at other routers until each is answered."""
+    """Send requests with keys, each again at other routers until it is answered."""
     for number in range(6):
         marker = f"{name}-{number}"
         request = chat(account, marker, 12, stream=index % 2 == 0, key=marker)
-        await _ask_until_answered(world, account, marker, request)
+        await _retry_until_answered(world, account, marker, request)
         await trio.sleep(0.3)
 
 
@@ -118,12 +121,12 @@
         marker = f"{name}-{number}"
         account = "bortolini" if index else "pantry"
         request = booking(account, marker, marker)
-        await _ask_until_answered(world, account, marker, request)
+        await _retry_until_answered(world, account, marker, request)
         await trio.sleep(0.4)
 
 
-async def _greedy_caller(world: World) -> None:
-    """Ask of pantry's budget until it is spent, from two routers."""
+async def _exhausting_caller(world: World) -> None:
+    """Exhaust the budget of `pantry` through two routers."""
     for number in range(30):
         marker = f"greedy-{number}"
         request = chat("pantry", marker, 25, stream=True)
@@ -131,16 +134,16 @@
         await trio.sleep(0.15)
 
 
-async def _ask_until_answered(
+async def _retry_until_answered(
     world: World, account: str, marker: str, request: HttpRequest
 ) -> None:
     router = VICTIM
-    for _ in range(TRIES):
+    for _ in range(MAX_ATTEMPTS):
         attempt = await world.attempt(router, account, marker, request)
         if attempt.answered or _is_final(attempt.error):
             return
         router = world.other_router(router)
-        await trio.sleep(TRY_PAUSE_S)
+        await trio.sleep(RETRY_INTERVAL_S)
 
 
 def _is_final(error: RailtideError | None) -> bool:
@@ -159,7 +162,7 @@
     )
 
 
-async def _drainer(world: World) -> None:
+async def _draining_operator(world: World) -> None:
     await trio.sleep(4.0)
     process = world.routers["i3"]
     process.drained = True
@@ -233,7 +236,7 @@
 
 
 async def log_aged_out(world: World) -> None:
-    """Expire all that a checkpoint stands for, and restart a keeper on what is left."""
+    """Expire all records that the checkpoint at keeper i2 covers, and restart a keeper."""
     offset = world.keepers["i2"].keeper.state.checkpoint_offset
     world.platform.log.expire("journal", offset)
     await kill_keeper(world)
@@ -253,12 +256,12 @@
     world.mark_leaving("e1")
 
 
-def upstream_fault(kind: FaultKind, count: int, seconds: float = 0.0) -> Strike:
-    async def strike(world: World) -> None:
+def upstream_fault(kind: FaultKind, count: int, seconds: float = 0.0) -> Injection:
+    async def inject(world: World) -> None:
         for faults in world.platform.faults.values():
             faults.set(Fault(kind, count, seconds))
 
-    return strike
+    return inject
 
 
 async def list_wrong(world: World) -> None:
@@ -277,10 +280,10 @@
 
 
 async def caller_retries(world: World) -> None:
-    """Send each open keyed request again at once, at another router."""
+    """Send each open request that has a key again at once, through another router."""
     for attempt in list(world.attempts):
-        open_still = not (attempt.sink.whole or attempt.error or attempt.lost)
-        if open_still and attempt.request.headers.get("idempotency-key"):
+        is_open = not (attempt.sink.whole or attempt.error or attempt.lost)
+        if is_open and attempt.request.headers.get("idempotency-key"):
             world.nursery.start_soon(
                 world.attempt, "i2", attempt.account, attempt.marker, attempt.request
             )
@@ -294,7 +297,7 @@
         world.topped_up["pantry"] += 600
 
 
-FAULTS: dict[str, Strike] = {
+FAULTS: dict[str, Injection] = {
     "router-killed": kill_router,
     "keeper-killed": kill_keeper,
     "instance-killed": kill_instance,
--- a/tests/matrix/schedule.py
+++ b/tests/matrix/schedule.py
@@ -1,4 +1,4 @@
-"""One schedule for one seed: trio shuffles its ready tasks; tests must give one verdict."""
+"""Deterministic task order: trio shuffles its ready tasks, and a seed must reproduce its run."""
 
 from trio._core import _run
 
@@ -6,6 +6,6 @@
 
 
 def fix_schedule(seed: int) -> None:
-    """Make trio's order of ready tasks follow from a seed, as Hypothesis does for its tests."""
+    """Seed trio's shuffling of ready tasks, as Hypothesis does for its own tests."""
     _run._ALLOW_DETERMINISTIC_SCHEDULING = True
     _run._r.seed(seed)
--- a/tests/matrix/test_matrix.py
+++ b/tests/matrix/test_matrix.py
@@ -1,4 +1,4 @@
-"""Every fault at every step."""
+"""Each fault injected once at each step of a request or of the log."""
 
 from functools import partial
 
@@ -39,4 +39,4 @@
     def test_promises_hold(self, step: str, moment: str, fault: str) -> None:
         trigger = Trigger(step, moment, FAULTS[fault])
         run_on_virtual_clock([trigger])
-        assert trigger.struck, "the step was never reached"
+        assert trigger.injected, "the step was never reached"
--- a/tests/matrix/test_pairs.py
+++ b/tests/matrix/test_pairs.py
@@ -1,4 +1,4 @@
-"""Two or more faults together, and the same one twice, drawn by Hypothesis.
+"""Two or three faults in one run, possibly the same one twice, drawn by Hypothesis.
 
 ``make soak`` runs this without derandomization and with more examples.
 """
--- a/tests/matrix/test_regressions.py
+++ b/tests/matrix/test_regressions.py
@@ -1,4 +1,4 @@
-"""Fault sequences that once broke a promise, kept as found."""
+"""Fault sequences that once violated an invariant, kept as found."""
 
 import pytest
 
@@ -41,6 +41,6 @@
 
 
 @pytest.mark.parametrize("name", CASES)
-class TestFoundBefore:
+class TestRegressions:
     def test_promises_hold(self, name: str) -> None:
         run_on_virtual_clock([Trigger(s, m, FAULTS[f], n) for s, m, f, n in CASES[name]])
--- a/tests/matrix/world.py
+++ b/tests/matrix/world.py
@@ -1,4 +1,4 @@
-"""A small fleet on a virtual clock: real keepers and routers over the fakes of `ports`."""
+"""A simulated deployment on a virtual clock: real keepers and routers on the fakes of `ports`."""
 
 import json
 from collections.abc import Awaitable, Callable
@@ -42,7 +42,7 @@
     PortLink,
     PortLog,
     PortUpstreams,
-    RememberingLog,
+    UncompactedLog,
 )
 
 LEASE_S = 6.0
@@ -68,7 +68,7 @@
 
 
 class RecordingSink(AnswerSink):
-    """What one caller truly received."""
+    """Records what one caller received."""
 
     def __init__(self, port: Port) -> None:
         self.status = 0
@@ -80,29 +80,37 @@
     async def start(
         self, status: int, content_type: str, request_id: str, headers: object = ()
     ) -> None:
-        await self._port.gate()
+        await self._port.wait_while_paused()
         self.request_id = request_id
         self.started = True
         self.status = status
 
     async def write(self, data: bytes) -> None:
-        await self._port.gate()
+        await self._port.wait_while_paused()
         self.body += data
 
     async def finish(self) -> None:
-        await self._port.gate()
+        await self._port.wait_while_paused()
         self.whole = True
 
 
 @dataclass
 class Attempt:
-    """One try of a caller at one router."""
+    """One request that a caller sent to one router, and its outcome.
+
+    Attributes
+    ----------
+    marker : str
+        Identifies the request in its answer, over all attempts.
+    lost : bool
+        Whether the caller got neither a whole answer nor an error.
+    """
 
     router: str
     account: str
     marker: str
     request: HttpRequest
-    began: float
+    started_at: float
     call: Call | None = None
     sink: RecordingSink | None = None
     error: RailtideError | None = None
@@ -126,7 +134,7 @@
     port: Port
     router: Router
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
-    gone: trio.Event = field(default_factory=trio.Event)
+    ended: trio.Event = field(default_factory=trio.Event)
     links: list[Link] = field(default_factory=list)
     drained: bool = False
     open_after_drain: int = 0
@@ -145,18 +153,18 @@
 
 
 class World:
-    """The fleet; `reached` is called at every step with its moment and instance."""
+    """The deployment; calls `on_step` at each step, with its name, moment and instance."""
 
     def __init__(
         self,
         nursery: trio.Nursery,
-        reached: Callable[..., Awaitable[None]],
+        on_step: Callable[..., Awaitable[None]],
         template: dict = TEMPLATE,
     ) -> None:
         self.nursery = nursery
         self.template = template
-        log = RememberingLog(lambda: int((trio.current_time() + 1e6) * 1000))
-        self.platform = Platform(log, InstanceStore(), reached)
+        log = UncompactedLog(lambda: int((trio.current_time() + 1e6) * 1000))
+        self.platform = Platform(log, InstanceStore(), on_step)
         self.keepers: dict[str, KeeperProcess] = {}
         self.routers: dict[str, RouterProcess] = {}
         self.attempts: list[Attempt] = []
@@ -171,11 +179,11 @@
         self.races: list[list[Submission]] = []
         self.left_at: dict[str, float] = {}
         self._rng = Random(7)
-        self._lives = 0
+        self._process_count = 0
 
     def log_records(self) -> list[LogRecord]:
-        """Return all records ever appended, also those that the log has dropped."""
-        return self.platform.log.everything
+        """Return all records of the journal ever appended, also the expired ones."""
+        return self.platform.log.all_records
 
     # -- building -----------------------------------------------------------------------------
 
@@ -183,8 +191,10 @@
         port = Port(name)
         direct = DirectLog(PortLog(self.platform, port))
         relayed = RelayedLog(direct, lambda: self._peers(name), self._rng)
-        self._lives += 1
-        identity = Identity(name, domain, f"{name}:{self._lives}", f"k{self._lives}")
+        self._process_count += 1
+        identity = Identity(
+            name, domain, f"{name}:{self._process_count}", f"k{self._process_count}"
+        )
         keeper = Keeper(
             identity, relayed, PortInstances(self.platform, port), KEEPER_OPTIONS, self._rng
         )
@@ -206,7 +216,7 @@
         ]
 
     async def _connect(self, keeper: str, port: Port) -> Link:
-        await port.gate()
+        await port.wait_while_paused()
         process = self.keepers.get(keeper)
         if process is None or process.port.dead or process.nursery is None:
             raise LinkLost("no connection")
@@ -221,8 +231,10 @@
 
     def add_router(self, name: str, domain: str) -> None:
         port = Port(name)
-        self._lives += 1
-        identity = Identity(name, domain, f"{name}:{self._lives}", f"r{self._lives}")
+        self._process_count += 1
+        identity = Identity(
+            name, domain, f"{name}:{self._process_count}", f"r{self._process_count}"
+        )
         names = [name, *(other for other in self.keepers if other != name)]
         process: RouterProcess | None = None
 
@@ -242,7 +254,7 @@
     async def _run_router(self, process: RouterProcess) -> None:
         with process.scope:
             await process.router.run()
-        process.gone.set()
+        process.ended.set()
 
     def add_engine(self, name: str, domain: str, address: str = "") -> None:
         engine = Engine(token_s=0.02, batch=16)
@@ -263,7 +275,7 @@
         )
 
     async def build(self) -> None:
-        """Start everything, publish, top up, and wait until it is in force."""
+        """Start all processes, publish, top up, and wait until the configuration is in force."""
         for name, domain in zip(("i1", "i2", "i3"), DOMAINS, strict=True):
             self.add_keeper(name, domain)
         for name, domain in zip(("i1", "i2", "i3"), DOMAINS, strict=True):
@@ -285,7 +297,7 @@
         await trio.sleep(2.0)
 
     async def _watch_versions(self) -> None:
-        """Note every version that goes back at a router."""
+        """Record every version that decreases at a router, for as long as it runs."""
         while True:
             await trio.sleep(0.5)
             for name, process in self.routers.items():
@@ -319,7 +331,7 @@
         self.add_keeper(name, self.keepers[name].keeper.identity.failure_domain)
 
     def other_router(self, name: str) -> str:
-        """Return another router that is not leaving, as an address answer would."""
+        """Return another router that isn't draining, as an answer with addresses would list."""
         names = [n for n, process in self.routers.items() if not process.drained]
         return names[(names.index(name) + 1) % len(names)] if name in names else names[0]
 
@@ -343,7 +355,7 @@
     async def attempt(
         self, router: str, account: str, marker: str, request: HttpRequest
     ) -> Attempt:
-        """Send one request to one router and note what came back."""
+        """Send one request to one router and record the outcome."""
         process = self.routers[router]
         attempt = Attempt(router, account, marker, request, trio.current_time())
         self.attempts.append(attempt)
@@ -351,8 +363,8 @@
         attempt.sink = RecordingSink(process.port)
         with trio.move_on_after(40) as scope:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._lose_when_gone, process, nursery.cancel_scope)
-                await process.port.gate()
+                nursery.start_soon(self._cancel_on_exit, process, nursery.cancel_scope)
+                await process.port.wait_while_paused()
                 try:
                     process.router.check_ready()
                     call = call_of(request, process.router.directory, ROUTER_OPTIONS)
@@ -367,13 +379,13 @@
         return attempt
 
     @staticmethod
-    async def _lose_when_gone(process: RouterProcess, scope: trio.CancelScope) -> None:
-        await process.gone.wait()
+    async def _cancel_on_exit(process: RouterProcess, scope: trio.CancelScope) -> None:
+        await process.ended.wait()
         scope.cancel()
 
 
 class Operator(Subscriber):
-    """Publishes and tops up through a keeper, as an operator's session would."""
+    """Publishes and tops up through a keeper, like an operator's session."""
 
     numbers = 0
 
