--- a/tests/edge_soak/callers.py
+++ b/tests/edge_soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers: they ask for addresses, keep connections open, and remember what they were told."""
+"""Callers: they look up addresses, keep connections open and record the answers."""
 
 import math
 from dataclasses import dataclass, field
@@ -17,24 +17,24 @@
 KINDS = ("safe", "once", "stream", "resume")
 TOKENS_IN = 40
 TOKENS_OUT = 6
-GIVE_UP_S = 4.0
+CALLER_TIMEOUT_S = 4.0
 BODY = b"body"
-LEAVE_SHARE = 0.05
-"""Callers that leave in the middle of an answer."""
-STAY_SHARE = 0.3
-"""Callers that keep to one router, whatever they are told, until a connection to it fails."""
+DISCONNECT_SHARE = 0.05
+"""Share of the answers in the middle of which the caller disconnects."""
+STICKY_SHARE = 0.3
+"""Share of the callers that use one router until a request to it fails, whatever is looked up."""
 
 
 @dataclass
 class Attempt:
-    """One request and all that its caller saw of the answer.
+    """One request and what its caller received of the answer.
 
     Attributes
     ----------
     key_version : int
-        Version of the desired state that brought the key it was sent with.
+        Version of the desired state that introduced the key it was sent with.
     newest : int
-        Newest version that was written when the answer was there.
+        Newest version that was written when the request ended.
     sent_at, ended_at : float
         Trio time.
     """
@@ -55,25 +55,25 @@
 
     @property
     def events(self) -> int:
-        """Whole events that came."""
+        """Number of whole events received."""
         return self.body.count(b"\n\n")
 
 
 @dataclass
 class Callers:
-    """All callers of one seed."""
+    """The callers of one seed, and all requests that they sent."""
 
     fleet: Fleet
     rng: Random
     attempts: list[Attempt] = field(default_factory=list)
 
     async def run(self) -> None:
-        """Call for ever, one request after another on kept connections."""
+        """Send requests for ever, one after another, on persistent connections."""
         pool_by_router: dict[str, PeerPool] = {}
-        stays = self.rng.random() < STAY_SHARE
+        is_sticky = self.rng.random() < STICKY_SHARE
         router: Router | None = None
         while True:
-            if router is None or not stays:
+            if router is None or not is_sticky:
                 router = await self._choose()
             pool = pool_by_router.setdefault(router.name, PeerPool("127.0.0.1", router.calls.port))
             attempt = await self.ask(router, pool, self.rng.choice(KINDS))
@@ -81,7 +81,7 @@
             await trio.sleep(self.rng.uniform(0, 0.1))
 
     async def stay(self) -> None:
-        """Call for ever, at one router until its connection is gone, then at another."""
+        """Send requests for ever, to one router until its connection fails, then to another."""
         while True:
             router = await self._choose()
             pool = PeerPool("127.0.0.1", router.calls.port)
@@ -93,10 +93,10 @@
             pool.close()
 
     async def _choose(self) -> Router:
-        """Return a router that one of them names, or any if none answers."""
-        asked = self.rng.choice(self.fleet.routers)
-        named = set(await self._addresses(asked))
-        routers = [router for router in self.fleet.routers if router.address in named]
+        """Return one of the routers that a random router lists, or any router if it lists none."""
+        source = self.rng.choice(self.fleet.routers)
+        addresses = set(await self._addresses(source))
+        routers = [router for router in self.fleet.routers if router.address in addresses]
         return self.rng.choice(routers or self.fleet.routers)
 
     async def _addresses(self, router: Router) -> list[str]:
@@ -119,7 +119,7 @@
         body: bytes = BODY,
         key_version: int | None = None,
     ) -> Attempt:
-        """Send one request, by the newest key if none is named, and note what becomes of it."""
+        """Send one request, with the newest key unless another is given, and record its outcome."""
         number = len(self.attempts)
         key_version = self.fleet.version if key_version is None else key_version
         attempt = Attempt(
@@ -130,16 +130,16 @@
         headers = (
             (b"host", b"h.example"),
             (b"x-attempt-id", attempt.request_id.encode()),
-            (b"x-deadline-ms", b"%d" % (GIVE_UP_S * 1000)),
+            (b"x-deadline-ms", b"%d" % (CALLER_TIMEOUT_S * 1000)),
             (b"x-credential", f"k{key_version}".encode()),
             (b"x-token-count", b"%d,%d" % (TOKENS_IN, TOKENS_OUT)),
         )
         request = HttpRequest(b"POST", f"/{kind}/x".encode(), headers, body)
-        with trio.move_on_after(GIVE_UP_S):
+        with trio.move_on_after(CALLER_TIMEOUT_S):
             try:
                 await self._read(attempt, await pool.send(request))
             except HttpError:
-                pass  # the caller saw no whole answer, which is what the attempt says
+                pass  # the caller got no whole answer: `whole` stays False
         attempt.newest = self.fleet.version
         attempt.ended_at = trio.current_time()
         return attempt
@@ -148,10 +148,10 @@
         try:
             attempt.status = exchange.status
             attempt.answered_id = (first_header(exchange.headers, b"x-attempt-id") or b"").decode()
-            leaves = self.rng.random() < LEAVE_SHARE
+            disconnects = self.rng.random() < DISCONNECT_SHARE
             async for chunk in exchange.chunks():
                 attempt.body += chunk
-                if leaves:
+                if disconnects:
                     return
             attempt.whole = True
         finally:
--- a/tests/edge_soak/checks.py
+++ b/tests/edge_soak/checks.py
@@ -1,67 +1,69 @@
-"""The promises, checked from what callers, engines and signals tell."""
+"""Checks of the promises, on the records of callers, engines and signals."""
 
 import signal
 from collections import Counter
 
-from tests.edge_soak.callers import GIVE_UP_S, TOKENS_IN, TOKENS_OUT, Attempt
-from tests.edge_soak.fleet import EVENTS, Fleet, ProcessEnd
+from tests.edge_soak.callers import CALLER_TIMEOUT_S, TOKENS_IN, TOKENS_OUT, Attempt
+from tests.edge_soak.fleet import EVENTS, Fleet, ProcessExit
 
-__all__ = ["broken_promises", "is_good_end", "lost_answers", "poor_return", "spent"]
+__all__ = ["broken_promises", "is_expected_exit", "lost_answers", "poor_recovery", "spent"]
 
-NOT_RUN = (401, 402, 404, 408, 421, 429, 503)
-ONCE = ("once", "stream")
+NOT_RUN_STATUSES = (401, 402, 404, 408, 421, 429, 503)
+AT_MOST_ONCE_KINDS = ("once", "stream")
 UNAUTHORIZED = 401
 OK = 200
-LEAST_SERVED = 0.25
-"""Of the calls after a return of all routers."""
-ENOUGH = 2
-"""A budget is not spent if it holds what all these calls need at most, so many times."""
+MIN_SERVED_SHARE = 0.25
+"""Share of the requests after a restart of all routers that must be served."""
+MIN_BUDGET_FACTOR = 2
+"""A budget counts as unspent if it holds so many times what all these requests need at most."""
 
 
 def broken_promises(fleet: Fleet, attempts: list[Attempt]) -> list[str]:
-    """Return a line for each promise that was not kept."""
-    runs = Counter(_begun(fleet))
+    """Return a line for each violation of a promise."""
+    runs = Counter(_started_requests(fleet))
     return [
         *_overspent(fleet, attempts),
-        *(line for attempt in attempts for line in _broken_for(attempt, runs)),
-        *_regressed(attempts),
-        *_ended_badly(fleet),
+        *(line for attempt in attempts for line in _violations_of(attempt, runs)),
+        *_key_regressions(attempts),
+        *_unexpected_exits(fleet),
     ]
 
 
-def _begun(fleet: Fleet) -> list[str]:
-    """Return the ids of all requests that engines began, one each time."""
+def _started_requests(fleet: Fleet) -> list[str]:
+    """Return the id of each request that an engine started, once for each start."""
     engines = [*fleet.engines, *fleet.crashing]
     return [request_id for engine in engines for request_id in engine.ran]
 
 
 def spent(fleet: Fleet, attempts: list[Attempt]) -> int:
-    """Return what was spent: input once for a request that ran, output as it was delivered."""
-    ran = set(_begun(fleet))
+    """Return the units spent: input once for each request that ran, and all delivered output."""
+    ran = set(_started_requests(fleet))
     delivered = sum(a.events for a in attempts if a.status == OK)
     return TOKENS_IN * len(ran) + delivered
 
 
-def poor_return(attempts: list[Attempt], left: int) -> list[str]:
-    """Return a line if too few calls were served though their budget was not spent."""
-    if left < ENOUGH * (TOKENS_IN + TOKENS_OUT) * len(attempts):
+def poor_recovery(attempts: list[Attempt], left: int) -> list[str]:
+    """Return a line if too few requests were served after the restart, with budget left."""
+    if left < MIN_BUDGET_FACTOR * (TOKENS_IN + TOKENS_OUT) * len(attempts):
         return []
     statuses = Counter(attempt.status for attempt in attempts)
-    if statuses[OK] >= LEAST_SERVED * len(attempts):
+    if statuses[OK] >= MIN_SERVED_SHARE * len(attempts):
         return []
-    return [f"after the kill of all, with {left} left, answers were {dict(statuses)}"]
+    return [
+        f"after the kill of all routers, with {left} units left, statuses were {dict(statuses)}"
+    ]
 
 
 def lost_answers(fleet: Fleet, attempts: list[Attempt]) -> list[str]:
-    """Return a line for each request that an engine ran and whose caller was told nothing.
+    """Return a line for each request that an engine ran and whose caller got no status.
 
-    Only for times without a fault but signals, which end no request.
+    Only for runs whose faults are signals that interrupt no request.
     """
-    ran = set(_begun(fleet))
+    ran = set(_started_requests(fleet))
     return [
         f"{a.request_id} ({a.kind} at {a.router}/{a.lifetime}) ran and was not answered"
         for a in attempts
-        if a.request_id in ran and not a.status and a.ended_at - a.sent_at < GIVE_UP_S
+        if a.request_id in ran and not a.status and a.ended_at - a.sent_at < CALLER_TIMEOUT_S
     ]
 
 
@@ -70,18 +72,18 @@
     return [f"overspent: {used} of {fleet.prepaid}"] if used > fleet.prepaid else []
 
 
-def _broken_for(attempt: Attempt, runs: Counter) -> list[str]:
+def _violations_of(attempt: Attempt, runs: Counter) -> list[str]:
     name = f"{attempt.request_id} ({attempt.kind} at {attempt.router}/{attempt.lifetime})"
     ran = runs[attempt.request_id]
     broken = []
-    if attempt.kind in ONCE and ran > 1:
+    if attempt.kind in AT_MOST_ONCE_KINDS and ran > 1:
         broken.append(f"{name} ran {ran} times")
-    if attempt.status in NOT_RUN and ran:
+    if attempt.status in NOT_RUN_STATUSES and ran:
         broken.append(f"{name} ran and was answered {attempt.status}")
     if attempt.status == OK and attempt.answered_id != attempt.request_id:
         broken.append(f"{name} got the answer of {attempt.answered_id!r}")
     if attempt.status == OK and attempt.whole and not _is_whole(attempt):
-        broken.append(f"{name} got {attempt.body!r} as whole")
+        broken.append(f"{name} got {attempt.body!r} as a complete answer")
     if attempt.status == OK and not _is_in_order(attempt):
         broken.append(f"{name} got events out of order: {attempt.body!r}")
     return broken
@@ -97,8 +99,11 @@
     return whole == expected
 
 
-def _regressed(attempts: list[Attempt]) -> list[str]:
-    """A key that a process took must be taken by it until a later version drops it."""
+def _key_regressions(attempts: list[Attempt]) -> list[str]:
+    """Return a line for each refusal of a key that the process had accepted already.
+
+    A process must accept a key until a later version drops it.
+    """
     broken = []
     for refused in attempts:
         if refused.status != UNAUTHORIZED or refused.newest >= refused.key_version + 2:
@@ -112,21 +117,21 @@
             and a.ended_at < refused.sent_at
         ]
         if taken:
-            broken.append(f"{refused.request_id} got 401 after {taken[0]} was served by its key")
+            broken.append(f"{refused.request_id} got 401 after {taken[0]} was served with its key")
     return broken
 
 
-def _ended_badly(fleet: Fleet) -> list[str]:
+def _unexpected_exits(fleet: Fleet) -> list[str]:
     return [
-        f"{router.name}/{end.lifetime} ended with {end.code} after {sorted(end.signals)}"
+        f"{router.name}/{end.lifetime} exited with {end.code} after {sorted(end.signals)}"
         for router in fleet.routers
         for end in router.ends
-        if not is_good_end(end)
+        if not is_expected_exit(end)
     ]
 
 
-def is_good_end(end: ProcessEnd) -> bool:
-    """Return whether it was killed, left when asked to, or ended before it handled signals."""
+def is_expected_exit(end: ProcessExit) -> bool:
+    """Return whether the process was killed, shut down on SIGTERM, or hit by an early signal."""
     if signal.SIGKILL in end.signals:
         return True
     if -end.code in end.early:
--- a/tests/edge_soak/crashes.py
+++ b/tests/edge_soak/crashes.py
@@ -1,4 +1,4 @@
-"""A request that ends each engine that begins it, beside faults of routers and of the store."""
+"""A request that crashes each engine that starts it, during faults of routers and the store."""
 
 from collections.abc import Awaitable, Callable
 from random import Random
@@ -10,89 +10,91 @@
 from railtide.http.client import PeerPool
 from railtide.standins.crashing_engine import CRASH_MARK
 from tests.edge_soak.callers import KINDS, Attempt, Callers
-from tests.edge_soak.faults import FAULTS, LENGTH_S, Planned
+from tests.edge_soak.faults import FAULT_WINDOW_S, FAULTS, PlannedFault
 from tests.edge_soak.fleet import Fleet, World
 
 __all__ = [
-    "AFTER_S",
     "CRASHES",
+    "CRASHING_S",
     "CRASH_WORLD",
-    "ENDING_S",
     "KNOWN_S",
+    "RECHECK_S",
     "broken_containment",
-    "crashes_of",
     "is_calm_crash",
-    "send_each",
-    "send_others",
+    "plan_crashes",
+    "send_crashing",
+    "send_unrelated",
 ]
 
 CRASH_WORLD = World(engines=0, callers=8, stayers=4, prepaid=400_000, crashing=5)
-BAD = CRASH_MARK + b" the same each time"
-EACH_S = 0.3
-"""Between two times that the content comes."""
-ENDING_S = 10.0
-"""While faults strike."""
+CRASHING_BODY = CRASH_MARK + b" the same each time"
+SEND_INTERVAL_S = 0.3
+"""Interval between two requests with the crashing content."""
+CRASHING_S = 10.0
+"""For how long the content is sent while faults are injected."""
 KNOWN_S = 3.0
-"""Behind the last fault, until all routers know."""
-AFTER_S = 4.0
-"""While the content comes again behind that."""
+"""From the last fault until all routers know of the crashes."""
+RECHECK_S = 4.0
+"""For how long the content is sent again afterwards."""
 CALM_EVERY = 4
-"""One seed of so many has no fault but routers that are killed or leave: three engines end."""
-MOST_ENDS = 3
-MOST_RETRIES = 3
-MOST_FAULTS = 8
-MOST_ENGINE_KILLS = 2
-"""Ends of engines for other reasons; three of them under one request can't be told from its own."""
-HELD = "content-held"
+"""Seeds divisible by this only have routers that are killed or leave: three engines crash."""
+MAX_CRASHES = 3
+MAX_LATE_ARRIVALS = 3
+MAX_FAULTS = 8
+MAX_ENGINE_KILLS = 2
+"""Crashes for other reasons: three during one request can't be told from crashes that it causes."""
+CODE_HELD = "content-held"
 REFUSED = 503
 CALM_FAULTS = ("kill", "leave")
 ENGINE_FAULTS = ("engine-link", "spoilt-engine", "unlisted-engine")
-"""Faults of engines behind links, of which there are none here."""
+"""Faults of engines behind links; the engines here have no links."""
 
 
-async def _forget_marks(fleet: Fleet, rng: Random, length: float) -> None:
+async def _discard_marks(fleet: Fleet, rng: Random, duration_s: float) -> None:
     fleet.store.topic(TOPIC).forget()
 
 
-async def _kill_engine(fleet: Fleet, rng: Random, length: float) -> None:
+async def _kill_engine(fleet: Fleet, rng: Random, duration_s: float) -> None:
     rng.choice(fleet.crashing).end()
 
 
 CRASHES: dict[str, Callable[[Fleet, Random, float], Awaitable[None]]] = {
-    "marks-forgotten": _forget_marks,
+    "marks-forgotten": _discard_marks,
     "engine-killed": _kill_engine,
 }
 
 
 def is_calm_crash(seed: int) -> bool:
-    """Return whether nothing strikes in a seed that loses marks or keeps them from routers."""
+    """Return whether a seed has no fault that loses marks or keeps routers from reading them."""
     return seed % CALM_EVERY == 0
 
 
-def crashes_of(seed: int) -> list[Planned]:
-    """Return the faults of a seed in the order of their begin."""
+def plan_crashes(seed: int) -> list[PlannedFault]:
+    """Return the faults of a seed, ordered by their begin."""
     rng = Random(f"crashes {seed}")
     if is_calm_crash(seed):
-        return sorted((_drawn(rng, CALM_FAULTS) for _ in range(2)), key=lambda one: one.at)
+        return sorted((_draw(rng, CALM_FAULTS) for _ in range(2)), key=lambda fault: fault.at)
     names = sorted(set(FAULTS) - set(ENGINE_FAULTS) | {"marks-forgotten"})
-    made = [_drawn(rng, names) for _ in range(rng.randint(2, MOST_FAULTS))]
-    made += [_drawn(rng, ("engine-killed",)) for _ in range(rng.randint(0, MOST_ENGINE_KILLS))]
-    return sorted(made, key=lambda planned: planned.at)
+    drawn = [_draw(rng, names) for _ in range(rng.randint(2, MAX_FAULTS))]
+    drawn += [_draw(rng, ("engine-killed",)) for _ in range(rng.randint(0, MAX_ENGINE_KILLS))]
+    return sorted(drawn, key=lambda fault: fault.at)
 
 
-def _drawn(rng: Random, names: list[str] | tuple[str, ...]) -> Planned:
-    at, length = rng.uniform(0, LENGTH_S), rng.uniform(0.2, 3.0)
-    return Planned(rng.choice(names), round(at, 2), round(length, 2), rng.randrange(1 << 30))
+def _draw(rng: Random, names: list[str] | tuple[str, ...]) -> PlannedFault:
+    at, duration_s = rng.uniform(0, FAULT_WINDOW_S), rng.uniform(0.2, 3.0)
+    return PlannedFault(
+        rng.choice(names), round(at, 2), round(duration_s, 2), rng.randrange(1 << 30)
+    )
 
 
-async def send_each(callers: Callers, rng: Random, seconds: float) -> None:
-    """Send the content that ends engines again and again, at any router, on one kind of route."""
+async def send_crashing(callers: Callers, rng: Random, seconds: float) -> None:
+    """Send the crashing content repeatedly, to any router, on one kind of route."""
     kind = rng.choice(KINDS)
-    await _send(callers, rng, seconds, lambda: kind, lambda number: BAD)
+    await _send(callers, rng, seconds, lambda: kind, lambda number: CRASHING_BODY)
 
 
-async def send_others(callers: Callers, rng: Random, seconds: float) -> None:
-    """Send contents of which each comes once, on all kinds of routes."""
+async def send_unrelated(callers: Callers, rng: Random, seconds: float) -> None:
+    """Send contents that occur once each, to any router, on all kinds of routes."""
     await _send(callers, rng, seconds, lambda: rng.choice(KINDS), lambda n: b"other %d" % n)
 
 
@@ -104,40 +106,45 @@
     body_of: Callable[[int], bytes],
 ) -> None:
     async with trio.open_nursery() as nursery:
-        for number in range(round(seconds / EACH_S)):
+        for number in range(round(seconds / SEND_INTERVAL_S)):
             router = rng.choice(callers.fleet.routers)
             pool = PeerPool("127.0.0.1", router.calls.port)
             nursery.start_soon(callers.ask, router, pool, kind_of(), body_of(number))
-            await trio.sleep(EACH_S)
+            await trio.sleep(SEND_INTERVAL_S)
 
 
 def broken_containment(
-    fleet: Fleet, attempts: list[Attempt], healed_at: float, calm: bool
+    fleet: Fleet, attempts: list[Attempt], known_at: float, calm: bool
 ) -> list[str]:
-    """Return a line for each of both promises that was not kept.
+    """Return a line for each violation: an innocent content held, or a crashing one sent on.
 
     Parameters
     ----------
-    healed_at : float
-        Trio time from which all routers know of all ends.
+    known_at : float
+        Trio time from which all routers know of all crashes.
     calm : bool
-        Whether they always did: then three engines end, and what was in flight.
+        Whether they always did: then at most three engines crash, and one more for each router
+        with a request in flight.
     """
-    arrivals = [a for engine in fleet.crashing for a in engine.arrivals if a.body == BAD]
-    late = [arrival for arrival in arrivals if arrival.at > healed_at]
+    arrivals = [a for engine in fleet.crashing for a in engine.arrivals if a.body == CRASHING_BODY]
+    late = [arrival for arrival in arrivals if arrival.at > known_at]
     crashes = sum(engine.crashes for engine in fleet.crashing)
-    most = MOST_ENDS + len(fleet.routers)
-    refused = [a for a in attempts if a.status == REFUSED and a.sent_body != BAD and _held(a)]
-    broken = [f"{a.request_id} ({a.sent_body!r}) was held, though innocent" for a in refused]
-    if len(late) > MOST_RETRIES:
-        broken.append(f"a held content was sent to engines {len(late)} times more")
+    most = MAX_CRASHES + len(fleet.routers)
+    refused = [
+        a for a in attempts if a.status == REFUSED and a.sent_body != CRASHING_BODY and _is_held(a)
+    ]
+    broken = [
+        f"{a.request_id} ({a.sent_body!r}) was held though it crashes no engine" for a in refused
+    ]
+    if len(late) > MAX_LATE_ARRIVALS:
+        broken.append(f"a held content was sent to engines {len(late)} more times")
     if calm and crashes > most:
-        broken.append(f"{crashes} engines ended under one content")
+        broken.append(f"one content crashed {crashes} engines")
     return broken
 
 
-def _held(attempt: Attempt) -> bool:
+def _is_held(attempt: Attempt) -> bool:
     try:
-        return msgspec.json.decode(attempt.body)["code"] == HELD
+        return msgspec.json.decode(attempt.body)["code"] == CODE_HELD
     except (msgspec.DecodeError, KeyError, TypeError):
         return False
--- a/tests/edge_soak/fleet.py
+++ b/tests/edge_soak/fleet.py
@@ -1,4 +1,4 @@
-"""The processes under soak, the platform's stand-ins before them, and the links between."""
+"""The router processes under test, stand-ins of the platform, and the links between them."""
 
 import os
 import signal
@@ -28,9 +28,9 @@
 __all__ = [
     "EVENTS",
     "GOOD_ENGINE",
-    "KEPT_KEY_VERSION",
+    "PERMANENT_KEY_VERSION",
     "Fleet",
-    "ProcessEnd",
+    "ProcessExit",
     "Router",
     "World",
     "open_fleet",
@@ -40,12 +40,12 @@
 """Events of each answer."""
 GOOD_ENGINE = EngineScript(events=EVENTS, gap_s=0.03)
 TOP_UP = 500
-KEPT_KEY_VERSION = 0
-"""Of the key that no version of the desired state drops."""
-PORTS = 4
-"""That a router listens on. All routers' are drawn at once, so that no two are the same."""
+PERMANENT_KEY_VERSION = 0
+"""Version of the key that every version of the desired state contains."""
+PORTS_PER_ROUTER = 4
+"""Ports of one router. Those of all routers are chosen at once, so that they differ."""
 STARTED = b'"started"'
-"""In the line that a process writes once it handles signals."""
+"""Part of the log line that a process writes once it handles signals."""
 ROUTE = {"host": "h.example", "timeout_ms": 4000, "goal_ms": 500, "service": "s"}
 ROUTES = [
     ROUTE | {"name": "safe", "path_prefix": "/safe/", "kind": "safe", "max_attempts": 2},
@@ -64,23 +64,23 @@
 
 @dataclass(frozen=True)
 class World:
-    """How large a seed's world is.
+    """Size of a seed's fleet and load.
 
     Attributes
     ----------
     callers : int
-        Those that share connections and go where they are told.
+        Callers that reuse connections and choose routers by looked-up addresses.
     stayers : int
-        Those that keep to a connection of their own until it is gone.
+        Callers that use one connection of their own until it fails.
     pause_s : float
         Longest pause of a stayer between two requests.
     crashing : int
-        Engines that end under marked bodies, before which there are no links.
+        Engines that crash on bodies with a mark; there are no links to them.
     prepaid : int
-        Budget before the top-ups that each version of the desired state brings.
+        Budget without the top-ups that each version of the desired state adds.
     filling : int
-        Routes that nobody calls, which make the desired state large. If there are any, each version
-        brings a route of its own too, which all later ones keep.
+        Unused routes, which make the desired state large. If there are any, each version also
+        adds a route of its own, which all later versions keep.
     """
 
     routers: int = 3
@@ -95,15 +95,15 @@
 
 
 @dataclass(frozen=True)
-class ProcessEnd:
-    """How a process ended.
+class ProcessExit:
+    """Exit of a process.
 
     Attributes
     ----------
     signals : frozenset of signal.Signals
-        All that it was sent.
+        All signals that it was sent.
     early : frozenset of signal.Signals
-        Those of them that came before it said that it started.
+        Those that were sent before it logged that it had started.
     """
 
     lifetime: int
@@ -113,12 +113,12 @@
 
 
 def _state(version: int, prepaid: int, filling: int) -> bytes:
-    """Return a desired state: each version brings a key, and drops the last but one."""
-    keys = sorted({f"k{kept}" for kept in (version, version - 1, KEPT_KEY_VERSION)})
+    """Return a desired state: each version adds a key, and drops the last but one."""
+    keys = sorted({f"k{kept}" for kept in (version, version - 1, PERMANENT_KEY_VERSION)})
     tenant = {"name": "t", "api_keys": keys, "prepaid": prepaid}
     routes = ROUTES + _routes_of_versions(version, filling) if filling else ROUTES
-    made = {"version": version, "routes": routes, "services": [{"name": "s"}], "tenants": [tenant]}
-    return msgspec.json.encode(made)
+    state = {"version": version, "routes": routes, "services": [{"name": "s"}], "tenants": [tenant]}
+    return msgspec.json.encode(state)
 
 
 def _routes_of_versions(version: int, filling: int) -> list[dict[str, object]]:
@@ -133,18 +133,18 @@
 
 @dataclass
 class Router:
-    """One router: its process, which may be replaced, and the links that lead to and from it.
+    """One router: its process, which may be restarted, and its links.
 
     Attributes
     ----------
     lifetime : int
-        Counts its processes.
+        Number of processes started so far.
     ends : list of ProcessEnd
-        How the processes before this one ended.
+        Exits of the earlier processes.
     changing : trio.Lock
-        Held while the process is ended and started again.
+        Held while the process is being restarted.
     stops : list of float
-        Trio times at which its processes were stopped or woken.
+        Trio times at which its processes were stopped or continued.
     """
 
     name: str
@@ -157,7 +157,7 @@
     store: Link
     process: trio.Process | None = None
     lifetime: int = 0
-    ends: list[ProcessEnd] = field(default_factory=list)
+    ends: list[ProcessExit] = field(default_factory=list)
     changing: trio.Lock = field(default_factory=trio.Lock)
     stops: list[float] = field(default_factory=list)
     _log_begin: int = 0
@@ -166,7 +166,7 @@
     _ready_lifetime: int = 0
 
     async def is_ready(self) -> bool:
-        """Return whether the process says that it serves."""
+        """Return whether the process's readiness check succeeds."""
         request = HttpRequest(b"GET", b"/ready", ((b"host", b"x"),))
         with trio.move_on_after(1):
             try:
@@ -180,7 +180,7 @@
         return False
 
     async def start(self) -> None:
-        """Start a process in place of the one before."""
+        """Start a process, which replaces an earlier one that has exited."""
         env = os.environ | {
             "RAILTIDE_BOOT": str(self.settings),
             "RAILTIDE_EDGE_METRICS_PORT": str(self.metrics_port),
@@ -202,14 +202,14 @@
         return self.settings.parent / f"{self.name}.log"
 
     def _note_end(self) -> None:
-        """Note how the process ended, if it did."""
+        """Record the process's exit, if it has exited."""
         code = None if self.process is None else self.process.poll()
         if code is not None:
             signals, early = frozenset(self._signals), frozenset(self._early)
-            self.ends.append(ProcessEnd(self.lifetime, code, signals, early))
+            self.ends.append(ProcessExit(self.lifetime, code, signals, early))
 
     def has_started(self) -> bool:
-        """Return whether the process has said that it started, or that it is ready."""
+        """Return whether the process has logged that it started, or was ready."""
         if self._ready_lifetime == self.lifetime:
             return True
         with self._log.open("rb") as log:
@@ -217,23 +217,23 @@
             return STARTED in log.read()
 
     def lines(self) -> list[dict[str, object]]:
-        """Return the lines that the process has written whole."""
+        """Return the complete log lines of the process."""
         with self._log.open("rb") as log:
             log.seek(self._log_begin)
             whole = log.read().rpartition(b"\n")[0].splitlines()
         return [msgspec.json.decode(line) for line in whole if line.startswith(b"{")]
 
     def is_running(self) -> bool:
-        """Return whether there is a process."""
+        """Return whether the process is running."""
         return self.process.poll() is None
 
     @property
     def is_leaving(self) -> bool:
-        """Whether the process, if there is one, was asked to end."""
+        """Whether the process was sent SIGTERM."""
         return signal.SIGTERM in self._signals
 
     def send(self, number: signal.Signals) -> None:
-        """Send the process a signal, unless it is gone."""
+        """Send the process a signal, unless it has exited."""
         if not self.is_running():
             return
         if not self.has_started():
@@ -244,17 +244,17 @@
         self.process.send_signal(number)
 
     def end(self) -> None:
-        """End the process at the end of the seed, whatever state the seed's world is in."""
+        """Kill the process at the end of the seed, without recording the signal."""
         if self.process is not None and self.is_running():
             self.process.kill()
 
     async def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process and wait for its exit."""
         self.send(signal.SIGKILL)
         await self.process.wait()
 
     async def pause(self, seconds: float) -> None:
-        """Stop the process for a while."""
+        """Stop the process for a while; a process started meanwhile isn't continued."""
         process = self.process
         self.send(signal.SIGSTOP)
         await trio.sleep(seconds)
@@ -262,21 +262,21 @@
             self.send(signal.SIGCONT)
 
     async def leave(self) -> None:
-        """Ask the process to end, and wait until it has."""
+        """Send the process SIGTERM and wait for its exit."""
         self.send(signal.SIGTERM)
         await self.process.wait()
 
 
 @dataclass
 class Fleet:
-    """All of one seed's world.
+    """The routers, engines and store of one seed.
 
     Attributes
     ----------
     written_at : dict of int to float
         Trio time from which each version of the desired state is in the store.
     statements : list of Statement
-        The limits that engines stated.
+        The notices that engines sent.
     """
 
     world: World
@@ -291,21 +291,21 @@
 
     @property
     def prepaid(self) -> int:
-        """The budget that the newest desired state names."""
+        """The account's budget in the newest desired state."""
         return self.world.prepaid + TOP_UP * self.version
 
     def publish(self) -> None:
-        """Write the next desired state, as the operator does."""
+        """Write the next version of the desired state, like the operator."""
         self.version += 1
         self.put_state()
 
     def put_state(self) -> None:
-        """Write the desired state of the version."""
+        """Write the desired state of the current version."""
         self.written_at[self.version] = trio.current_time()
         self.store.put("keyed.op", "config", self.state())
 
     def state(self) -> bytes:
-        """Return the desired state of the version."""
+        """Return the desired state of the current version."""
         return _state(self.version, self.prepaid, self.world.filling)
 
 
@@ -329,7 +329,7 @@
 
 @asynccontextmanager
 async def open_fleet(folder: Path, world: World) -> AsyncIterator[Fleet]:
-    """Yield a fleet whose processes run, and end those that it started."""
+    """Yield a fleet with started routers, and kill them at the end."""
     store = MemoryStore() if world.era is None else MemoryStore(world.era)
     async with trio.open_nursery() as nursery:
         store_port = await serve(nursery, StoreServer(store).handle)
@@ -347,9 +347,9 @@
             crashing = CrashingEngine(store, f"c{number}", HOST, GOOD_ENGINE)
             await nursery.start(crashing.run)
             fleet.crashing.append(crashing)
-        ports = free_ports(PORTS * world.routers)
+        ports = free_ports(PORTS_PER_ROUTER * world.routers)
         for number in range(world.routers):
-            own = ports[PORTS * number : PORTS * (number + 1)]
+            own = ports[PORTS_PER_ROUTER * number : PORTS_PER_ROUTER * (number + 1)]
             fleet.routers.append(await _router(nursery, folder, f"r{number}", store_port, own))
         try:
             for router in fleet.routers:
--- a/tests/edge_soak/proxy.py
+++ b/tests/edge_soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that delays, resets, silences, slows or cuts one way what passes through it."""
+"""A loopback proxy that can delay, reset, blackhole, throttle or block one way of connections."""
 
 import math
 import socket
@@ -11,35 +11,36 @@
 __all__ = ["Link", "LinkFault", "open_link"]
 
 READ_BYTES = 65_536
-NARROW_READ_BYTES = 8_192
-"""Passed on at once where the link has a rate, so that its connections share it evenly."""
+THROTTLED_READ_BYTES = 8_192
+"""Forwarded at once where the link has a rate, so that its connections share it evenly."""
 DELAY_S = 0.25
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
-"""SO_LINGER of no seconds: a close sends a reset."""
+"""SO_LINGER of 0 s: closing the socket sends a reset."""
 
 
 class LinkFault(StrEnum):
-    """What a link does to its connections."""
+    """Fault of a link, applied to all its connections."""
 
     NONE = "none"
     DELAY = "delay"
     RESET = "reset"
     SILENT = "silent"
     ONE_WAY = "one-way"
-    """What the far end sends is not passed on."""
+    """Bytes from the target are not forwarded."""
 
 
 @dataclass
 class Link:
-    """A way to one address.
+    """A proxy to one address.
 
     Attributes
     ----------
     port : int
-        Where it listens on loopback.
+        Loopback port that it listens on.
     target : tuple of str and int
+        Host and port that it connects to.
     rate : float
-        Bytes a second in each direction, which all connections share.
+        Bytes a second in each direction, shared by all connections.
     """
 
     port: int
@@ -47,26 +48,26 @@
     fault: LinkFault = LinkFault.NONE
     rate: float = math.inf
     _free_at: dict[bool, float] = field(default_factory=lambda: {False: 0.0, True: 0.0})
-    _silenced: set[trio.SocketStream] = field(default_factory=set)
+    _blackholed: set[trio.SocketStream] = field(default_factory=set)
     _streams: set[trio.SocketStream] = field(default_factory=set)
-    _healed: trio.Event = field(default_factory=trio.Event)
+    _fault_changed: trio.Event = field(default_factory=trio.Event)
 
     def set_fault(self, fault: LinkFault) -> None:
-        """Change what the link does; a reset strikes the open connections too."""
+        """Set the link's fault; RESET also resets the open connections."""
         self.fault = fault
         if fault is LinkFault.RESET:
             for stream in self._streams:
                 stream.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
                 stream.socket.close()
-        self._healed.set()
-        self._healed = trio.Event()
+        self._fault_changed.set()
+        self._fault_changed = trio.Event()
 
-    def silence_open(self) -> None:
-        """Pass nothing on any more on the connections that are open; new ones work."""
-        self._silenced |= self._streams
+    def blackhole_open(self) -> None:
+        """Forward nothing more on the connections that are open now; new ones work."""
+        self._blackholed |= self._streams
 
     async def serve(self, near: trio.SocketStream) -> None:
-        """Pass one connection on, for `trio.serve_listeners`."""
+        """Handle one connection, for `trio.serve_listeners`."""
         if self.fault is LinkFault.RESET:
             near.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             near.socket.close()
@@ -79,48 +80,48 @@
         self._streams |= {near, far}
         try:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._pass, near, far, False, nursery.cancel_scope)
-                nursery.start_soon(self._pass, far, near, True, nursery.cancel_scope)
+                nursery.start_soon(self._forward, near, far, False, nursery.cancel_scope)
+                nursery.start_soon(self._forward, far, near, True, nursery.cancel_scope)
         finally:
             self._streams -= {near, far}
-            self._silenced -= {near, far}
+            self._blackholed -= {near, far}
             near.socket.close()
             far.socket.close()
 
-    async def _pass(
-        self, source: trio.SocketStream, sink: trio.SocketStream, back: bool, scope
+    async def _forward(
+        self, source: trio.SocketStream, sink: trio.SocketStream, from_target: bool, scope
     ) -> None:
         try:
             while data := await source.receive_some(self._read_bytes):
-                await self._hold(back)
-                await self._carry(len(data), back)
-                if source in self._silenced:
+                await self._wait_for_fault(from_target)
+                await self._throttle(len(data), from_target)
+                if source in self._blackholed:
                     await trio.sleep_forever()
                 await sink.send_all(data)
         except (trio.BrokenResourceError, trio.ClosedResourceError, OSError):
-            pass  # one end is gone; the other is closed with it
+            pass  # one end is closed; `serve` closes the other
         scope.cancel()
 
     @property
     def _read_bytes(self) -> int:
-        return READ_BYTES if math.isinf(self.rate) else NARROW_READ_BYTES
+        return READ_BYTES if math.isinf(self.rate) else THROTTLED_READ_BYTES
 
-    async def _carry(self, count: int, back: bool) -> None:
-        """Wait until the link has carried so many bytes behind those that came before."""
-        begin = max(trio.current_time(), self._free_at[back])
-        self._free_at[back] = begin + count / self.rate
-        await trio.sleep_until(self._free_at[back])
+    async def _throttle(self, count: int, from_target: bool) -> None:
+        """Wait until the link's rate allows so many more bytes in this direction."""
+        begin = max(trio.current_time(), self._free_at[from_target])
+        self._free_at[from_target] = begin + count / self.rate
+        await trio.sleep_until(self._free_at[from_target])
 
-    async def _hold(self, back: bool) -> None:
-        """Wait as long as the link passes nothing on in this direction."""
+    async def _wait_for_fault(self, from_target: bool) -> None:
+        """Apply the delay, and wait while a fault blocks this direction."""
         if self.fault is LinkFault.DELAY:
             await trio.sleep(DELAY_S)
-        while self.fault is LinkFault.SILENT or (back and self.fault is LinkFault.ONE_WAY):
-            await self._healed.wait()
+        while self.fault is LinkFault.SILENT or (from_target and self.fault is LinkFault.ONE_WAY):
+            await self._fault_changed.wait()
 
 
 async def open_link(nursery: trio.Nursery, target: tuple[str, int]) -> Link:
-    """Return a link to an address, served in a nursery."""
+    """Return a link to an address that a task in the nursery serves."""
     (listener,) = await trio.open_tcp_listeners(0, host="127.0.0.1")
     link = Link(listener.socket.getsockname()[1], target)
     nursery.start_soon(trio.serve_listeners, link.serve, [listener])
--- a/tests/edge_soak/run.py
+++ b/tests/edge_soak/run.py
@@ -1,14 +1,18 @@
 """Run seeds of the soak: ``python -m tests.edge_soak.run [first seed] [count] [kind]``.
 
-A seed of the kind `faults` has single faults. One of `series` has signals, restarts and changes
-that overlap, callers that keep their connections, and a kill of all routers at the end. One of
-`crashes` has a request that ends each engine that begins it, beside faults of routers and of the
-store. One of `states` has large desired states behind narrow links, beside both. One of `rollbacks`
-has a store that comes back from a copy while routers spend, die and start. One of `notices` has
-engines that state limits, ask for rests and leave, beside signals, restarts and faults.
-
-Prints each seed that breaks a promise, with its faults and the folder of its processes' logs, and
-ends with 1 if there is one.
+The kinds of seeds:
+
+- `faults`: single faults;
+- `series`: overlapping signals, restarts and changes of the desired state, callers with persistent
+  connections, and a kill of all routers at the end;
+- `crashes`: a request that crashes each engine that starts it, during faults of routers and the
+  store;
+- `states`: large desired states over throttled links, during series and faults;
+- `rollbacks`: a store that is restored from a copy while routers spend, are killed and start;
+- `notices`: engines that advertise limits, ask for rests and leave, during series and faults.
+
+Prints each seed that violates a promise, with its faults and the folder of its processes' logs, and
+exits with 1 if there is one.
 """
 
 import signal
@@ -27,77 +31,77 @@
 from loguru import logger
 
 from railtide.http.client import PeerPool
-from tests.edge_soak.callers import GIVE_UP_S, Callers
-from tests.edge_soak.checks import OK, broken_promises, lost_answers, poor_return, spent
+from tests.edge_soak.callers import CALLER_TIMEOUT_S, Callers
+from tests.edge_soak.checks import OK, broken_promises, lost_answers, poor_recovery, spent
 from tests.edge_soak.crashes import (
-    AFTER_S,
     CRASH_WORLD,
     CRASHES,
-    ENDING_S,
+    CRASHING_S,
     KNOWN_S,
+    RECHECK_S,
     broken_containment,
-    crashes_of,
     is_calm_crash,
-    send_each,
-    send_others,
+    plan_crashes,
+    send_crashing,
+    send_unrelated,
 )
-from tests.edge_soak.faults import FAULTS, LATER_FAULTS, Planned, heal, plan_of
+from tests.edge_soak.faults import FAULTS, LATER_FAULTS, PlannedFault, clear_faults, plan_faults
 from tests.edge_soak.fleet import Fleet, Router, World, open_fleet
 from tests.edge_soak.notices import (
-    ENDED_S,
+    NOTICE_EXPIRY_S,
     NOTICES,
     broken_notices,
-    end_notices,
-    never_ended,
-    notices_of,
+    clear_notices,
+    lingering_limits,
     notices_world_of,
+    plan_notices,
     unused_engines,
 )
 from tests.edge_soak.rollbacks import (
     ROLLBACKS_WORLD,
     Rollback,
-    play,
-    rollbacks_of,
+    excess_withheld,
+    plan_rollbacks,
+    run_rollback,
     settle,
-    unspent,
 )
-from tests.edge_soak.series import SERIES, is_calm, keep_up, series_of, world_of
+from tests.edge_soak.series import SERIES, is_calm, plan_series, restart_on_exit, world_of
 from tests.edge_soak.states import (
     STATES,
     STATES_WORLD,
-    answered_as_outdated,
-    narrow_links,
-    newest_within,
+    blackhole_some,
+    check_newest,
+    plan_states,
     probe,
-    silence_some,
-    states_of,
+    refused_as_outdated,
+    throttle_links,
 )
 
 __all__ = ["Kind", "run_rollbacks", "run_seed"]
 
 WORKERS = 3
-MOST_LINES = 8
-"""Broken promises shown of one seed."""
+MAX_LINES = 8
+"""Most violations shown of one seed."""
 START_S = 30.0
-"""Until the first processes are ready; a large world takes `START_S_OF_A_ROUTER` more for each."""
-START_S_OF_A_ROUTER = 1.0
+"""Time until the first processes are ready, plus `START_S_PER_ROUTER` for each router."""
+START_S_PER_ROUTER = 1.0
 RECOVERY_S = 40.0
-"""Within which each router serves again after the last fault; long, for a busy machine."""
+"""Time within which each router serves again after the last fault; long, for a busy machine."""
 SPENDING_S = 4.0
-"""Calls after the last fault, so that what is left of the budget is spent: only then does a budget
-that was counted too high show."""
-TRY_AGAIN_S = 0.2
-RETURN_S = 12.0
-"""From the moment at which all processes are back until calls are served, as the platform asks."""
-RETURN_WINDOW_S = 4.0
-"""In which the calls that are served after a return are counted."""
+"""Duration of the requests after the last fault, which spend the rest of the budget: only then does
+a budget that was counted too high show."""
+POLL_INTERVAL_S = 0.2
+RESTART_RECOVERY_S = 12.0
+"""From the start of all processes until requests are served, as the platform requires."""
+RESTART_WINDOW_S = 4.0
+"""Time in which the requests served after a restart of all routers are counted."""
 
 
-STRIKES = FAULTS | LATER_FAULTS | SERIES | CRASHES | STATES | NOTICES
+INJECT_BY_NAME = FAULTS | LATER_FAULTS | SERIES | CRASHES | STATES | NOTICES
 
 
 class Kind(StrEnum):
-    """Which plan a seed has."""
+    """Kind of a seed's plan."""
 
     FAULTS = "faults"
     SERIES = "series"
@@ -111,16 +115,18 @@
     async with open_fleet(folder, World()) as fleet:
         await _until_ready(fleet)
         callers = Callers(fleet, Random(seed))
-        async with _calling(callers), trio.open_nursery() as striking:
-            for planned in plan_of(seed):
-                striking.start_soon(_strike, fleet, planned)
-        heal(fleet)
-        silent = [
-            line for router in fleet.routers for line in await _serves(fleet, callers, router)
+        async with _calling(callers), trio.open_nursery() as injecting:
+            for planned in plan_faults(seed):
+                injecting.start_soon(_inject, fleet, planned)
+        clear_faults(fleet)
+        unserving = [
+            line
+            for router in fleet.routers
+            for line in await _check_serving(fleet, callers, router)
         ]
         async with _calling(callers):
             await trio.sleep(SPENDING_S)
-        return silent + broken_promises(fleet, callers.attempts)
+        return unserving + broken_promises(fleet, callers.attempts)
 
 
 async def _run_series(seed: int, folder: Path) -> list[str]:
@@ -128,26 +134,28 @@
         await _until_ready(fleet)
         rng = Random(seed)
         callers = Callers(fleet, rng)
-        async with trio.open_nursery() as keeping:
+        async with trio.open_nursery() as background:
             for router in fleet.routers:
-                keeping.start_soon(keep_up, router, rng)
-            async with _calling(callers), trio.open_nursery() as striking:
-                for planned in series_of(seed):
-                    striking.start_soon(_strike, fleet, planned)
-            heal(fleet)
+                background.start_soon(restart_on_exit, router, rng)
+            async with _calling(callers), trio.open_nursery() as injecting:
+                for planned in plan_series(seed):
+                    injecting.start_soon(_inject, fleet, planned)
+            clear_faults(fleet)
             lost = lost_answers(fleet, callers.attempts) if is_calm(seed) else []
-            poor = await _returns(fleet, callers)
-            silent = [
-                line for router in fleet.routers for line in await _serves(fleet, callers, router)
+            recovery = await _check_recovery(fleet, callers)
+            unserving = [
+                line
+                for router in fleet.routers
+                for line in await _check_serving(fleet, callers, router)
             ]
             async with _calling(callers):
                 await trio.sleep(SPENDING_S)
-            keeping.cancel_scope.cancel()
-        return lost + poor + silent + broken_promises(fleet, callers.attempts)
+            background.cancel_scope.cancel()
+        return lost + recovery + unserving + broken_promises(fleet, callers.attempts)
 
 
-async def _returns(fleet: Fleet, callers: Callers) -> list[str]:
-    """Kill all routers; return a line unless calls are served again in time."""
+async def _check_recovery(fleet: Fleet, callers: Callers) -> list[str]:
+    """Kill all routers; return a line unless requests are served again in time."""
     async with _calling(callers):
         await _until_started(fleet)
         processes = [router.process for router in fleet.routers]
@@ -156,18 +164,18 @@
         for process in processes:
             await process.wait()
         await _until_started(fleet)
-        await trio.sleep(RETURN_S)
+        await trio.sleep(RESTART_RECOVERY_S)
         left = fleet.prepaid - spent(fleet, callers.attempts)
         first = len(callers.attempts)
-        await trio.sleep(RETURN_WINDOW_S)
+        await trio.sleep(RESTART_WINDOW_S)
         last = len(callers.attempts)
-        await trio.sleep(GIVE_UP_S)
-    return poor_return(callers.attempts[first:last], left)
+        await trio.sleep(CALLER_TIMEOUT_S)
+    return poor_recovery(callers.attempts[first:last], left)
 
 
 @asynccontextmanager
 async def _calling(callers: Callers) -> AsyncIterator[None]:
-    """Have all callers call until the end of the block."""
+    """Run all callers until the end of the block."""
     world = callers.fleet.world
     async with trio.open_nursery() as nursery:
         for _ in range(world.callers):
@@ -179,42 +187,42 @@
 
 
 async def _until_ready(fleet: Fleet) -> None:
-    with trio.fail_after(START_S + START_S_OF_A_ROUTER * fleet.world.routers):
+    with trio.fail_after(START_S + START_S_PER_ROUTER * fleet.world.routers):
         for router in fleet.routers:
             while not await router.is_ready():
-                await trio.sleep(TRY_AGAIN_S)
+                await trio.sleep(POLL_INTERVAL_S)
 
 
 async def _until_started(fleet: Fleet) -> None:
-    """Wait until each router has a process that runs and has started."""
-    with trio.fail_after(START_S + START_S_OF_A_ROUTER * fleet.world.routers):
+    """Wait until each router has a running process that has started."""
+    with trio.fail_after(START_S + START_S_PER_ROUTER * fleet.world.routers):
         for router in fleet.routers:
             while not (router.is_running() and router.has_started()):
-                await trio.sleep(TRY_AGAIN_S)
+                await trio.sleep(POLL_INTERVAL_S)
 
 
-async def _until_back(fleet: Fleet) -> None:
-    """Wait until each router has a process that has started and was not asked to end."""
-    with trio.fail_after(START_S + START_S_OF_A_ROUTER * fleet.world.routers):
+async def _until_restarted(fleet: Fleet) -> None:
+    """Wait until each router has a process that has started and wasn't sent SIGTERM."""
+    with trio.fail_after(START_S + START_S_PER_ROUTER * fleet.world.routers):
         while any(router.is_leaving for router in fleet.routers):
-            await trio.sleep(TRY_AGAIN_S)
+            await trio.sleep(POLL_INTERVAL_S)
     await _until_started(fleet)
 
 
-async def _strike(fleet: Fleet, planned: Planned) -> None:
+async def _inject(fleet: Fleet, planned: PlannedFault) -> None:
     await trio.sleep(planned.at)
-    await STRIKES[planned.name](fleet, Random(planned.seed), planned.length)
+    await INJECT_BY_NAME[planned.name](fleet, Random(planned.seed), planned.duration_s)
 
 
-async def _serves(fleet: Fleet, callers: Callers, router: Router) -> list[str]:
-    """Return a line unless the router serves by the newest desired state."""
+async def _check_serving(fleet: Fleet, callers: Callers, router: Router) -> list[str]:
+    """Publish a version; return a line unless the router serves its key in time."""
     fleet.publish()
     with trio.move_on_after(RECOVERY_S):
         while True:
             pool = PeerPool("127.0.0.1", router.calls.port)
             if (await callers.ask(router, pool, "safe")).status == OK:
                 return []
-            await trio.sleep(TRY_AGAIN_S)
+            await trio.sleep(POLL_INTERVAL_S)
     return [f"{router.name} does not serve {RECOVERY_S} s after the last fault"]
 
 
@@ -223,20 +231,22 @@
         await _until_ready(fleet)
         callers = Callers(fleet, Random(seed))
         async with _calling(callers), trio.open_nursery() as nursery:
-            nursery.start_soon(send_each, callers, Random(seed), ENDING_S)
-            nursery.start_soon(send_others, callers, Random(seed), ENDING_S)
-            for planned in crashes_of(seed):
-                nursery.start_soon(_strike, fleet, planned)
-        heal(fleet)
-        silent = [
-            line for router in fleet.routers for line in await _serves(fleet, callers, router)
+            nursery.start_soon(send_crashing, callers, Random(seed), CRASHING_S)
+            nursery.start_soon(send_unrelated, callers, Random(seed), CRASHING_S)
+            for planned in plan_crashes(seed):
+                nursery.start_soon(_inject, fleet, planned)
+        clear_faults(fleet)
+        unserving = [
+            line
+            for router in fleet.routers
+            for line in await _check_serving(fleet, callers, router)
         ]
         await trio.sleep(KNOWN_S)
-        healed_at = trio.current_time()
+        known_at = trio.current_time()
         async with _calling(callers):
-            await send_each(callers, Random(seed), AFTER_S)
-        ends = broken_containment(fleet, callers.attempts, healed_at, is_calm_crash(seed))
-        return silent + ends + broken_promises(fleet, callers.attempts)
+            await send_crashing(callers, Random(seed), RECHECK_S)
+        ends = broken_containment(fleet, callers.attempts, known_at, is_calm_crash(seed))
+        return unserving + ends + broken_promises(fleet, callers.attempts)
 
 
 async def _run_states(seed: int, folder: Path) -> list[str]:
@@ -244,31 +254,31 @@
         await _until_ready(fleet)
         rng = Random(seed)
         callers = Callers(fleet, rng)
-        transfer_s = narrow_links(fleet, rng)
-        async with trio.open_nursery() as keeping:
+        transfer_s = throttle_links(fleet, rng)
+        async with trio.open_nursery() as background:
             for router in fleet.routers:
-                keeping.start_soon(keep_up, router, rng)
-                keeping.start_soon(probe, callers, router)
+                background.start_soon(restart_on_exit, router, rng)
+                background.start_soon(probe, callers, router)
             async with _calling(callers):
-                async with trio.open_nursery() as striking:
-                    for planned in states_of(seed):
-                        striking.start_soon(_strike, fleet, planned)
-                heal(fleet)
-                late = await _newest_at_all(callers, rng, transfer_s)
-            keeping.cancel_scope.cancel()
-        outdated = answered_as_outdated(fleet, callers.attempts)
+                async with trio.open_nursery() as injecting:
+                    for planned in plan_states(seed):
+                        injecting.start_soon(_inject, fleet, planned)
+                clear_faults(fleet)
+                late = await _check_newest_everywhere(callers, rng, transfer_s)
+            background.cancel_scope.cancel()
+        outdated = refused_as_outdated(fleet, callers.attempts)
         return late + outdated + broken_promises(fleet, callers.attempts)
 
 
-async def _newest_at_all(callers: Callers, rng: Random, transfer_s: float) -> list[str]:
-    """Write a last version behind connections that fall silent; return a line if one is late."""
+async def _check_newest_everywhere(callers: Callers, rng: Random, transfer_s: float) -> list[str]:
+    """Publish a last version over blackholed connections; return a line for each late router."""
     late: list[str] = []
 
     async def add_if_late(router: Router) -> None:
-        late.extend(await newest_within(callers, router, transfer_s))
+        late.extend(await check_newest(callers, router, transfer_s))
 
-    await _until_back(callers.fleet)
-    silence_some(callers.fleet, rng)
+    await _until_restarted(callers.fleet)
+    blackhole_some(callers.fleet, rng)
     callers.fleet.publish()
     async with trio.open_nursery() as nursery:
         for router in callers.fleet.routers:
@@ -277,20 +287,20 @@
 
 
 async def run_rollbacks(planned: list[Rollback], seed: int, folder: Path) -> list[str]:
-    """Play returns of the store from copies; return a line for each promise that was broken."""
+    """Run rollbacks of the store; return a line for each violation of a promise."""
     async with open_fleet(folder, ROLLBACKS_WORLD) as fleet:
         await _until_ready(fleet)
         await settle()
         callers = Callers(fleet, Random(seed))
         async with _calling(callers):
             for each in planned:
-                await play(fleet, each)
-        held_back = unspent(fleet, callers, planned)
-        return held_back + broken_promises(fleet, callers.attempts)
+                await run_rollback(fleet, each)
+        withheld = excess_withheld(fleet, callers, planned)
+        return withheld + broken_promises(fleet, callers.attempts)
 
 
 async def _run_rollbacks(seed: int, folder: Path) -> list[str]:
-    return await run_rollbacks(rollbacks_of(seed), seed, folder)
+    return await run_rollbacks(plan_rollbacks(seed), seed, folder)
 
 
 async def _run_notices(seed: int, folder: Path) -> list[str]:
@@ -298,24 +308,26 @@
         await _until_ready(fleet)
         rng = Random(seed)
         callers = Callers(fleet, rng)
-        async with trio.open_nursery() as keeping:
+        async with trio.open_nursery() as background:
             for router in fleet.routers:
-                keeping.start_soon(keep_up, router, rng)
+                background.start_soon(restart_on_exit, router, rng)
             async with _calling(callers):
-                async with trio.open_nursery() as striking:
-                    for planned in notices_of(seed):
-                        striking.start_soon(_strike, fleet, planned)
-                heal(fleet)
-                end_notices(fleet)
-                await _until_back(fleet)
-                await trio.sleep(ENDED_S)
-                kept = never_ended(fleet) + unused_engines(fleet, callers.attempts)
-            silent = [
-                line for router in fleet.routers for line in await _serves(fleet, callers, router)
+                async with trio.open_nursery() as injecting:
+                    for planned in plan_notices(seed):
+                        injecting.start_soon(_inject, fleet, planned)
+                clear_faults(fleet)
+                clear_notices(fleet)
+                await _until_restarted(fleet)
+                await trio.sleep(NOTICE_EXPIRY_S)
+                lingering = lingering_limits(fleet) + unused_engines(fleet, callers.attempts)
+            unserving = [
+                line
+                for router in fleet.routers
+                for line in await _check_serving(fleet, callers, router)
             ]
-            keeping.cancel_scope.cancel()
+            background.cancel_scope.cancel()
         notices = broken_notices(fleet, callers.attempts)
-        return notices + kept + silent + broken_promises(fleet, callers.attempts)
+        return notices + lingering + unserving + broken_promises(fleet, callers.attempts)
 
 
 RUN_BY_KIND = {
@@ -327,17 +339,17 @@
     Kind.NOTICES: _run_notices,
 }
 PLAN_BY_KIND = {
-    Kind.FAULTS: plan_of,
-    Kind.SERIES: series_of,
-    Kind.CRASHES: crashes_of,
-    Kind.STATES: states_of,
-    Kind.ROLLBACKS: rollbacks_of,
-    Kind.NOTICES: notices_of,
+    Kind.FAULTS: plan_faults,
+    Kind.SERIES: plan_series,
+    Kind.CRASHES: plan_crashes,
+    Kind.STATES: plan_states,
+    Kind.ROLLBACKS: plan_rollbacks,
+    Kind.NOTICES: plan_notices,
 }
 
 
 def run_seed(seed: int, folder: str, kind: Kind = Kind.FAULTS) -> list[str]:
-    """Run a seed with its logs in a folder; return what was broken."""
+    """Run a seed with its logs in a folder; return its violations, or the traceback of an error."""
     logger.remove()
     try:
         return trio.run(RUN_BY_KIND[kind], seed, Path(folder))
@@ -346,7 +358,7 @@
 
 
 def main() -> int:
-    """Run seeds in parallel and report."""
+    """Run the seeds in parallel, print the failures and return the exit code."""
     first = int(sys.argv[1]) if len(sys.argv) > 1 else 0
     count = int(sys.argv[2]) if len(sys.argv) > 2 else 50
     kind = Kind(sys.argv[3]) if len(sys.argv) > 3 else Kind.FAULTS
@@ -355,10 +367,10 @@
     failed = 0
     with ProcessPoolExecutor(WORKERS, max_tasks_per_child=1) as pool:
         results = pool.map(partial(run_seed, kind=kind), seeds, folders)
-        for seed, folder, said in zip(seeds, folders, results, strict=True):
-            if said:
+        for seed, folder, violations in zip(seeds, folders, results, strict=True):
+            if violations:
                 failed += 1
-                lines = [*map(str, PLAN_BY_KIND[kind](seed)), *said[:MOST_LINES]]
+                lines = [*map(str, PLAN_BY_KIND[kind](seed)), *violations[:MAX_LINES]]
                 print(f"seed {seed}, logs in {folder}:", *lines, sep="\n  ", flush=True)
     print(f"{count - failed} passed, {failed} failed")
     return 1 if failed else 0
--- a/tests/edge_soak/test_proxy.py
+++ b/tests/edge_soak/test_proxy.py
@@ -1,4 +1,4 @@
-"""Tests of what the soak's links do to connections."""
+"""Tests of the soak's proxy: shared rates and blackholed connections."""
 
 import trio
 
@@ -9,7 +9,7 @@
 
 
 async def _link_to_sender(nursery: trio.Nursery) -> Link:
-    """Return a link to a server that answers each byte with many."""
+    """Return a link to a server that answers each byte with `SENT_BYTES`."""
 
     async def send(stream: trio.SocketStream) -> None:
         while await stream.receive_some(1):
@@ -28,7 +28,7 @@
 
 
 class TestRate:
-    async def test_connections_share_it(self) -> None:
+    async def test_connections_share_the_rate(self) -> None:
         async with trio.open_nursery() as nursery:
             link = await _link_to_sender(nursery)
             link.rate = RATE
@@ -41,13 +41,13 @@
             nursery.cancel_scope.cancel()
 
 
-class TestSilence:
-    async def test_open_connections_fall_silent_and_new_ones_work(self) -> None:
+class TestBlackhole:
+    async def test_open_connections_get_nothing_more_and_new_ones_work(self) -> None:
         async with trio.open_nursery() as nursery:
             link = await _link_to_sender(nursery)
             old = await trio.open_tcp_stream("127.0.0.1", link.port)
             await _fetch(old)
-            link.silence_open()
+            link.blackhole_open()
             with trio.fail_after(5):
                 await _fetch(await trio.open_tcp_stream("127.0.0.1", link.port))
             with trio.move_on_after(0.2) as scope:
--- a/tests/edge_soak/test_rollbacks.py
+++ b/tests/edge_soak/test_rollbacks.py
@@ -1,11 +1,9 @@
-"""A store that comes back from a copy, against real processes.
+"""Rollbacks of the store to a copy, with real processes.
 
-What users saw: units that had been spent were granted and spent again, 2,282 to 8,889 of 24,000
-where routers died at the loss, though each router alone kept to its grants.
-
-In order: routers spend; the store goes on from a copy of some seconds before, and what was granted
-since is gone from the ledgers; routers that live say what they hold; nobody does of those that
-died.
+Guards against units that are granted and spent twice: 2,282 to 8,889 of 24,000 where routers died
+at the loss, although each router alone stayed within its grants. The store is restored from a copy
+a few seconds old, so the ledgers lack later grants. Routers that survive report their allocations;
+nobody reports those of routers that died.
 """
 
 import tempfile
