--- a/railtide/budgets/tests/test_large_partition.py
+++ b/railtide/budgets/tests/test_large_partition.py
@@ -12,7 +12,7 @@
 from railtide.configuration.models import AccountSettings
 from railtide.journal.keyed import KeyedPage
 from railtide.standins.keyed_store import MemoryStore
-from railtide.standins.narrow_stream import NARROW_BYTES_S
+from railtide.standins.throttled_stream import THROTTLED_BYTES_PER_S
 
 OPTIONS = LedgerOptions()
 CALL_BYTES = 2_097_152
@@ -139,7 +139,7 @@
     async def _carry(self, page: KeyedPage) -> KeyedPage:
         size = sum(len(record.value) for record in page.records)
         self.bytes_read += size
-        await trio.sleep(size / NARROW_BYTES_S)
+        await trio.sleep(size / THROTTLED_BYTES_PER_S)
         return page
 
     async def change(self, account: str, every_s: float) -> None:
--- a/railtide/keeper/tests/test_appender.py
+++ b/railtide/keeper/tests/test_appender.py
@@ -14,7 +14,7 @@
 from railtide.membership.messages import Heartbeat, OpenHolder
 from railtide.requests.messages import Answer, Bill
 from railtide.standins.log import LogStore
-from railtide.standins.narrow_stream import NARROW_BYTES_S
+from railtide.standins.throttled_stream import THROTTLED_BYTES_PER_S
 
 ANSWER_TIMEOUT_S = 5.0
 
@@ -123,7 +123,7 @@
     """A log behind a link of 5 Mbit/s whose append is given up after 5 s."""
 
     async def append(self, stream: str, data: bytes) -> int:
-        took_s = len(data) / NARROW_BYTES_S
+        took_s = len(data) / THROTTLED_BYTES_PER_S
         await trio.sleep(min(took_s, ANSWER_TIMEOUT_S))
         if took_s > ANSWER_TIMEOUT_S:
             raise LogUnavailable
@@ -140,7 +140,7 @@
 
     async def read(self, stream: str, start: int, limit: int, wait_s: float) -> Page:
         page = await self.store.read(stream, start, min(limit, 64), wait_s)
-        await trio.sleep(sum(len(record.data) for record in page.records) / NARROW_BYTES_S)
+        await trio.sleep(sum(len(record.data) for record in page.records) / THROTTLED_BYTES_PER_S)
         return page
 
 
--- a/railtide/keeper/tests/test_narrow_links.py
+++ b/railtide/keeper/tests/test_narrow_links.py
@@ -20,7 +20,7 @@
 from railtide.membership.identity import Identity
 from railtide.membership.instances import Instance, InstanceList
 from railtide.standins.log import LogStore
-from railtide.standins.narrow_stream import NARROW_BYTES_S, narrow_stream_pair
+from railtide.standins.throttled_stream import THROTTLED_BYTES_PER_S, throttled_stream_pair
 from railtide.wire.links import TcpLink, memory_link_pair
 from railtide.wire.messages import MembersMessage, ObjectMessage, SubscribeMessage
 
@@ -36,12 +36,12 @@
         self.store = LogStore(lambda: 1)
 
     async def append(self, stream: str, data: bytes) -> int:
-        await trio.sleep(len(data) / NARROW_BYTES_S)
+        await trio.sleep(len(data) / THROTTLED_BYTES_PER_S)
         return self.store.append(stream, data)
 
     async def read(self, stream: str, start: int, limit: int, wait_s: float) -> Page:
         page = await self.store.read(stream, start, limit, wait_s)
-        await trio.sleep(sum(len(record.data) for record in page.records) / NARROW_BYTES_S)
+        await trio.sleep(sum(len(record.data) for record in page.records) / THROTTLED_BYTES_PER_S)
         return page
 
 
@@ -59,7 +59,7 @@
 async def peer_log(log: LogClient, keeper: Keeper) -> AsyncIterator[PeerLog]:
     """Yield the log as another keeper reaches it, over a link of 5 Mbit/s."""
     async with trio.open_nursery() as nursery:
-        near, far = narrow_stream_pair(nursery)
+        near, far = throttled_stream_pair(nursery)
         nursery.start_soon(serve_link, keeper, DirectLog(log), TcpLink(far))
         yield PeerLog(TcpLink(near))
         nursery.cancel_scope.cancel()
@@ -101,10 +101,10 @@
         log = NarrowLog()
         keeper = keeper_of(log)
         keeper.state.offset = 0
-        keeper.follower.tail.append(LogRecord(0, 1, bytes(6 * NARROW_BYTES_S)))
+        keeper.follower.tail.append(LogRecord(0, 1, bytes(6 * THROTTLED_BYTES_PER_S)))
         async with peer_log(log, keeper) as peer:
             page = await peer.read(STREAM, 0, RECORDS, 0.0)
-        assert len(page.records[0].data) == 6 * NARROW_BYTES_S
+        assert len(page.records[0].data) == 6 * THROTTLED_BYTES_PER_S
 
     async def test_large_checkpoint_is_read_through_a_peer(self, autojump_clock) -> None:
         """Four megabytes go over the peer's own link first, and then over the link to it."""
@@ -122,7 +122,7 @@
 
     async def test_silent_peer_is_given_up(self, autojump_clock) -> None:
         async with trio.open_nursery() as nursery:
-            near, _ = narrow_stream_pair(nursery)
+            near, _ = throttled_stream_pair(nursery)
             began = trio.current_time()
             with pytest.raises(LogUnavailable), trio.fail_after(60):
                 await PeerLog(TcpLink(near)).read(STREAM, 0, 1, 0.0)
@@ -165,7 +165,7 @@
         """Behind a link of 5 Mbit/s 40 lists of members, 1 MB each, wait; the last one counts."""
         keeper = keeper_of(NarrowLog())
         async with trio.open_nursery() as nursery:
-            near, far = narrow_stream_pair(nursery)
+            near, far = throttled_stream_pair(nursery)
             nursery.start_soon(serve_link, keeper, DirectLog(NarrowLog()), TcpLink(far))
             link = TcpLink(near)
             await link.send(SubscribeMessage())
--- a/railtide/platform/tests/test_begun_again.py
+++ b/railtide/platform/tests/test_begun_again.py
@@ -13,8 +13,8 @@
 from railtide.platform.store import STALL_TIMEOUT_S, PlatformStore
 from railtide.platform.tests.hosts import HOST
 from railtide.standins.keyed_store import MemoryStore
-from railtide.standins.narrow_link import NarrowLink
 from railtide.standins.platform import StoreServer
+from railtide.standins.throttled_link import ThrottledLink
 from railtide.telemetry.counters import Counters
 
 TOPIC = "keyed.t"
@@ -62,7 +62,7 @@
         memory = MemoryStore()
         for number in range(8):
             memory.put(TOPIC, f"k{number}", bytes(20_000))
-        link = NarrowLink(LINK_BYTES_PER_S)
+        link = ThrottledLink(LINK_BYTES_PER_S)
         told: list[KeyedRecord] = []
         listener = await listen(HOST, 0)
         async with trio.open_nursery() as nursery:
@@ -74,14 +74,14 @@
             nursery.start_soon(feed.run)
             nursery.start_soon(_break_often, link)
             came = await until(lambda: feed.caught_up)
-            passed = link.down.passed_bytes
+            passed = link.down.forwarded_bytes
             nursery.cancel_scope.cancel()
         assert came, f"{passed} bytes passed for 213,000"
 
 
-async def _break_often(link: NarrowLink) -> None:
+async def _break_often(link: ThrottledLink) -> None:
     while True:
-        aim = link.down.passed_bytes + 0.8 * LINK_BYTES_PER_S
-        while link.down.passed_bytes < aim:
+        aim = link.down.forwarded_bytes + 0.8 * LINK_BYTES_PER_S
+        while link.down.forwarded_bytes < aim:
             await trio.sleep(0.01)
-        link.reset_open()
+        link.reset_connections()
--- a/railtide/platform/tests/test_large_desired_state.py
+++ b/railtide/platform/tests/test_large_desired_state.py
@@ -19,7 +19,7 @@
 import trio
 
 from railtide.platform.tests.test_whole_path import ROUTE, ROUTES, World, desired_state, world
-from railtide.standins.narrow_link import NarrowLink
+from railtide.standins.throttled_link import ThrottledLink
 
 LINK_BYTES_PER_S = 100_000
 """A fifth of what the narrowest links have; the states are smaller by as much."""
@@ -72,17 +72,17 @@
 class TestLargeState:
     async def test_it_comes_into_force_behind_a_loss_of_the_store(self) -> None:
         """A read that finds the store away does not wait, so its answer has the shortest time."""
-        link = NarrowLink(LINK_BYTES_PER_S)
+        link = ThrottledLink(LINK_BYTES_PER_S)
         async with world(link=link) as w:
             await w.add_engine("e1")
-            link.reset_open()
+            link.reset_connections()
             publish(w, 2, LONG_S)
             await until_in_force(w, 2)
             assert [(await w.ask(path)).status for path in (OLD, NEW)] == [200, 200]
 
     async def test_it_is_taken_at_a_start(self) -> None:
         state = large_state(1, LONG_S / NEWEST_SHARE)
-        async with world(state, link=NarrowLink(LINK_BYTES_PER_S)) as w:
+        async with world(state, link=ThrottledLink(LINK_BYTES_PER_S)) as w:
             await w.add_engine("e1")
             assert [(await w.ask(path)).status for path in (OLD, NEW)] == [200, 200]
 
@@ -94,25 +94,25 @@
         that waited 2.0 s all but one were given up as the first answer began, 0.1 s before theirs.
         What was in vain was begun again at the end of the store's queue.
         """
-        link = NarrowLink(LINK_BYTES_PER_S)
+        link = ThrottledLink(LINK_BYTES_PER_S)
         link_s = 1.2
         async with world(link=link) as w:
             w.store.delay_s = SLOW_S
-            link.reset_open()
+            link.reset_connections()
             publish(w, 2, link_s)
             with trio.fail_after(SLOW_S + link_s + TRY_S):
                 await until_in_force(w, 2)
 
     async def test_other_topics_are_followed_while_it_comes(self, lines) -> None:
-        link = NarrowLink(LINK_BYTES_PER_S)
+        link = ThrottledLink(LINK_BYTES_PER_S)
         async with world(link=link) as w:
-            before = link.down.passed_bytes
+            before = link.down.forwarded_bytes
             size = publish(w, 2, LONG_S)
-            await until(lambda: link.down.passed_bytes - before > size / 5)
+            await until(lambda: link.down.forwarded_bytes - before > size / 5)
             await w.add_engine("e1")
             assert (await w.ask("/stream/x", *TOKENS)).status == 200
             assert w.node.snapshot.version == 1
-            assert link.down.passed_bytes - before < size
+            assert link.down.forwarded_bytes - before < size
             await until_in_force(w, 2)
             assert lost_topics(lines) == set()
 
@@ -121,20 +121,20 @@
     async def test_version_that_a_newer_one_replaced_is_not_read_behind_an_outage(
         self, lines: list[dict[str, object]]
     ) -> None:
-        link = NarrowLink(LINK_BYTES_PER_S)
+        link = ThrottledLink(LINK_BYTES_PER_S)
         async with world(link=link) as w:
-            link.hold()
+            link.pause()
             await until(lambda: "keyed.op" in lost_topics(lines))
             sizes = [publish(w, version, 1.2) for version in (2, 3)]
-            link.lose_open()
-            before = link.down.passed_bytes
-            link.pass_on()
+            link.blackhole_connections()
+            before = link.down.forwarded_bytes
+            link.resume()
             await until_in_force(w, 3)
-            assert link.down.passed_bytes - before < 1.3 * NEWEST_SHARE * sizes[-1]
+            assert link.down.forwarded_bytes - before < 1.3 * NEWEST_SHARE * sizes[-1]
 
     async def test_storm_of_versions_is_followed_and_its_end_is_in_force(self) -> None:
         """Versions come faster than the link takes them."""
-        link = NarrowLink(LINK_BYTES_PER_S)
+        link = ThrottledLink(LINK_BYTES_PER_S)
         async with world(link=link) as w:
             in_force: list[int] = []
             w.node.on_snapshot = lambda snapshot: in_force.append(snapshot.version)
@@ -142,6 +142,6 @@
                 size = publish(w, version, 0.8)
                 await trio.sleep(0.33)
             assert len(in_force) >= 2
-            before = link.down.passed_bytes
+            before = link.down.forwarded_bytes
             await until_in_force(w, 15)
-            assert link.down.passed_bytes - before < 2.3 * NEWEST_SHARE * size
+            assert link.down.forwarded_bytes - before < 2.3 * NEWEST_SHARE * size
--- a/railtide/platform/tests/test_narrow_store.py
+++ b/railtide/platform/tests/test_narrow_store.py
@@ -17,8 +17,8 @@
 from railtide.platform.tests.hosts import HOST
 from railtide.platform.tests.test_whole_path import world
 from railtide.standins.keyed_store import MemoryStore
-from railtide.standins.narrow_link import NarrowLink
 from railtide.standins.platform import StoreServer
+from railtide.standins.throttled_link import ThrottledLink
 from railtide.telemetry.counters import Counters
 
 TOPIC = "keyed.t"
@@ -35,7 +35,7 @@
 class Followed:
     """A store behind a link, its client, and a feed whose records are kept."""
 
-    def __init__(self, link: NarrowLink, memory: MemoryStore, address: str) -> None:
+    def __init__(self, link: ThrottledLink, memory: MemoryStore, address: str) -> None:
         self.link = link
         self.memory = memory
         counters = Counters()
@@ -56,7 +56,7 @@
 async def followed(handler: Handler | None = None) -> AsyncIterator[Followed]:
     """Yield a feed that has read its topic once."""
     memory = MemoryStore()
-    link = NarrowLink(LINK_BYTES_PER_S)
+    link = ThrottledLink(LINK_BYTES_PER_S)
     listener = await listen(HOST, 0)
     async with trio.open_nursery() as nursery:
         server = HttpServer(handler or StoreServer(memory).handle, ConnectionLimits())
@@ -75,10 +75,10 @@
             await trio.sleep(0.01)
 
 
-async def until_passed(link: NarrowLink, count: float) -> None:
+async def until_passed(link: ThrottledLink, count: float) -> None:
     """Wait until so many more bytes have come through the link."""
-    aim = link.down.passed_bytes + count
-    await until(lambda: link.down.passed_bytes >= aim)
+    aim = link.down.forwarded_bytes + count
+    await until(lambda: link.down.forwarded_bytes >= aim)
 
 
 def silent_calls(f: Followed) -> int:
@@ -90,13 +90,13 @@
     async def test_answer_that_begins_late_is_waited_for_in_the_end(self) -> None:
         async with followed() as f:
             f.memory.delay_s = 1.6
-            f.link.reset_open()
+            f.link.reset_connections()
             f.memory.put(TOPIC, "a", b"1")
             await until(lambda: f.keys == ["a"])
 
     async def test_call_of_before_a_return_waits_no_longer_than_a_first_one(self) -> None:
         async with followed() as f:
-            f.link.hold()
+            f.link.pause()
             for _ in range(2):
                 with pytest.raises(LogUnavailable):
                     await f.client.newest(TOPIC)
@@ -106,8 +106,8 @@
                 await trio.sleep(0.05)
                 nursery.start_soon(_newest_or_lost, f.client, lost)
                 await trio.sleep(0.05)
-                f.link.lose_open()
-                f.link.pass_on()
+                f.link.blackhole_connections()
+                f.link.resume()
                 await f.client.newest(TOPIC)
                 with trio.fail_after(2.0):
                     await lost.wait()
@@ -128,16 +128,16 @@
 class TestSilence:
     async def test_silent_store_is_noticed_in_time_and_found_again(self) -> None:
         async with followed() as f:
-            f.link.hold()
+            f.link.pause()
             await until(lambda: not f.feed.reachable, NOTICE_S)
             f.memory.put(TOPIC, "a", b"1")
-            f.link.lose_open()
-            f.link.pass_on()
+            f.link.blackhole_connections()
+            f.link.resume()
             await until(lambda: f.keys == ["a"], NOTICE_S)
 
     async def test_connection_that_fell_silent_is_noticed_in_time(self) -> None:
         async with followed() as f:
-            f.link.lose_open()
+            f.link.blackhole_connections()
             f.memory.put(TOPIC, "a", b"1")
             await until(lambda: f.keys == ["a"], NOTICE_S)
 
@@ -146,7 +146,7 @@
             opened = f.link.opened
             f.memory.put(TOPIC, "a", 2 * SECOND)
             await until_passed(f.link, len(SECOND))
-            f.link.lose_open()
+            f.link.blackhole_connections()
             await until(lambda: f.link.opened > opened, NOTICE_S)
             await until(lambda: f.keys == ["a"])
 
@@ -158,7 +158,7 @@
             silences = silent_calls(f)
             f.memory.put(TOPIC, "a", 2 * SECOND)
             await until_passed(f.link, len(SECOND))
-            f.link.lose_open()
+            f.link.blackhole_connections()
             await until(lambda: f.keys == ["a"])
             assert silent_calls(f) - silences == 1
 
@@ -166,13 +166,13 @@
 class TestSilentLedgers:
     async def test_silent_store_is_noticed_in_time_by_the_ledgers(self) -> None:
         """Their reads go on for longer, beside others; that the store is away is known before."""
-        link = NarrowLink(LINK_BYTES_PER_S)
+        link = ThrottledLink(LINK_BYTES_PER_S)
         async with world(link=link) as w:
             await until(lambda: w.node.roster.is_advertised() and w.node.budgets.reachable)
-            link.hold()
+            link.pause()
             await until(lambda: not w.node.budgets.reachable, NOTICE_S)
-            link.lose_open()
-            link.pass_on()
+            link.blackhole_connections()
+            link.resume()
             await until(lambda: w.node.budgets.reachable, NOTICE_S)
 
 
@@ -213,14 +213,14 @@
         async with followed() as f:
             if known:
                 await put_small(f, ["a", "b"])
-            before = f.link.down.passed_bytes
+            before = f.link.down.forwarded_bytes
             for key in ("a", "b"):
                 f.memory.put(TOPIC, key, SECOND)
             await until_passed(f.link, 1.5 * len(SECOND))
-            f.link.reset_open()
+            f.link.reset_connections()
             await until(lambda: f.keys[-1:] == ["b"])
             assert f.keys == ["a", "b"]
-            assert f.link.down.passed_bytes - before < 2.7 * len(SECOND)
+            assert f.link.down.forwarded_bytes - before < 2.7 * len(SECOND)
 
     async def test_feed_is_not_current_before_the_rest_has_come(self) -> None:
         async with followed() as f:
@@ -228,24 +228,24 @@
             for key in ("a", "b"):
                 f.memory.put(TOPIC, key, SECOND)
             await until_passed(f.link, 1.5 * len(SECOND))
-            f.link.hold()
-            f.link.reset_open()
+            f.link.pause()
+            f.link.reset_connections()
             await until(lambda: f.keys == ["a"])
             await trio.sleep(0.2)
             assert not f.feed.is_current()
-            f.link.pass_on()
+            f.link.resume()
             await until(lambda: f.keys == ["a", "b"] and f.feed.is_current())
 
     async def test_versions_are_not_all_read_behind_one_break_of_the_newest(self) -> None:
         async with followed() as f:
             await put_small(f, ["a"])
-            before = f.link.down.passed_bytes
+            before = f.link.down.forwarded_bytes
             for number in range(4):
                 f.memory.put(TOPIC, "a", SECOND[1:] + b"%d" % number)
             await until_passed(f.link, 0.5 * len(SECOND))
-            f.link.reset_open()
+            f.link.reset_connections()
             await until(lambda: f.records != [] and f.records[-1].value[-1:] == b"3")
-            assert f.link.down.passed_bytes - before < 3.5 * len(SECOND)
+            assert f.link.down.forwarded_bytes - before < 3.5 * len(SECOND)
 
     @pytest.mark.parametrize("known", [True, False])
     async def test_connection_that_never_lives_for_all_records_moves_on(self, known: bool) -> None:
@@ -273,9 +273,9 @@
     """Reset the connections whenever four fifths of a second of the link have come."""
     with trio.move_on_after(GUARD_S):
         while not over():
-            aim = f.link.down.passed_bytes + 0.8 * len(SECOND)
-            await until(lambda aim=aim: over() or f.link.down.passed_bytes >= aim)
-            f.link.reset_open()
+            aim = f.link.down.forwarded_bytes + 0.8 * len(SECOND)
+            await until(lambda aim=aim: over() or f.link.down.forwarded_bytes >= aim)
+            f.link.reset_connections()
 
 
 async def put_small(f: Followed, keys: list[str]) -> None:
--- a/railtide/platform/tests/test_outdated_view.py
+++ b/railtide/platform/tests/test_outdated_view.py
@@ -34,7 +34,7 @@
     world,
 )
 from railtide.standins.keyed_store import MemoryStore
-from railtide.standins.narrow_link import NarrowLink
+from railtide.standins.throttled_link import ThrottledLink
 
 NEW_ROUTE = ROUTES[0] | {"name": "new", "path_prefix": "/new/"}
 CONFIGURATION = "keyed.op"
@@ -265,7 +265,7 @@
         return float(first_header(told.headers, b"retry-after"))
 
     async def test_caller_is_told_when_to_come_back(self) -> None:
-        link = NarrowLink(LINK_BYTES_PER_S)
+        link = ThrottledLink(LINK_BYTES_PER_S)
         async with world(link=link) as w:
             await w.add_engine("e")
             publish(w, 2, self.TRANSFER_S)
@@ -286,7 +286,7 @@
 
     async def test_what_is_unknown_is_refused_once_the_topic_was_read_to_its_end(self) -> None:
         """The state says nothing of versions that were published while it was under way."""
-        link = NarrowLink(LINK_BYTES_PER_S)
+        link = ThrottledLink(LINK_BYTES_PER_S)
         async with world(link=link) as w:
             publish(w, 2, self.TRANSFER_S)
             await until_in_force(w, 2)
@@ -298,7 +298,7 @@
             assert w.node.configuration_is_current()
 
     async def test_one_that_takes_too_long_shows(self, lines: list[dict[str, object]]) -> None:
-        link = NarrowLink(LINK_BYTES_PER_S)
+        link = ThrottledLink(LINK_BYTES_PER_S)
         async with world(link=link) as w:
             publish(w, 2, self.TRANSFER_S)
             await until(lambda: not w.node.ready)
@@ -317,7 +317,7 @@
     ) -> None:
         monkeypatch.setattr(freshness, "MAX_BEHIND_S", 0.5)
         store = MemoryStore()
-        link = NarrowLink(LINK_BYTES_PER_S)
+        link = ThrottledLink(LINK_BYTES_PER_S)
         async with AsyncExitStack() as stack:
             narrow = await stack.enter_async_context(world(store=store, link=link))
             wide = [
@@ -334,7 +334,7 @@
             assert narrow.node.snapshot.version == 2
 
     async def test_one_that_breaks_off_is_not_forgotten(self) -> None:
-        link = NarrowLink(LINK_BYTES_PER_S)
+        link = ThrottledLink(LINK_BYTES_PER_S)
         async with world(link=link) as w:
             await w.add_engine("e")
             publish(w, 2, self.TRANSFER_S)
@@ -343,7 +343,7 @@
                 await trio.sleep(0.3)
                 await assert_outdated(await w.ask(NEW))
                 assert not w.node.configuration_is_current()
-                link.reset_open()
+                link.reset_connections()
             await until_in_force(w, 2)
             assert (await w.ask(NEW)).status == 200
 
@@ -407,7 +407,7 @@
     ) -> None:
         monkeypatch.setattr(freshness, "MAX_BEHIND_S", 0.5)
         store = MemoryStore()
-        link = NarrowLink(LINK_BYTES_PER_S)
+        link = ThrottledLink(LINK_BYTES_PER_S)
         async with AsyncExitStack() as stack:
             narrow = await stack.enter_async_context(world(store=store, link=link))
             wide = [
@@ -438,7 +438,7 @@
         async with AsyncExitStack() as stack:
             routers = [
                 await stack.enter_async_context(
-                    world(store=store, link=NarrowLink(LINK_BYTES_PER_S), instance=name)
+                    world(store=store, link=ThrottledLink(LINK_BYTES_PER_S), instance=name)
                 )
                 for name in ("i1", "i2", "i3")
             ]
@@ -457,7 +457,7 @@
         """One current router alone is fewer than callers are sent to."""
         monkeypatch.setattr(freshness, "MAX_BEHIND_S", 0.5)
         store = MemoryStore()
-        link = NarrowLink(LINK_BYTES_PER_S)
+        link = ThrottledLink(LINK_BYTES_PER_S)
         async with AsyncExitStack() as stack:
             narrow = await stack.enter_async_context(world(store=store, link=link))
             wide = await stack.enter_async_context(world(store=store, instance="i2"))
--- a/railtide/platform/tests/test_refresh.py
+++ b/railtide/platform/tests/test_refresh.py
@@ -15,10 +15,10 @@
         """`refresh` cancels a read that moves like one that waits, and what came is thrown away."""
         async with followed() as f:
             await put_small(f, ["a", "b"])
-            before = f.link.down.passed_bytes
+            before = f.link.down.forwarded_bytes
             for key in ("a", "b"):
                 f.memory.put(TOPIC, key, SECOND)
             await until_passed(f.link, 1.5 * len(SECOND))
             f.feed.refresh()
             await until(lambda: f.keys[-1:] == ["b"])
-            assert f.link.down.passed_bytes - before < 2.9 * len(SECOND)
+            assert f.link.down.forwarded_bytes - before < 2.9 * len(SECOND)
--- a/railtide/platform/tests/test_whole_path.py
+++ b/railtide/platform/tests/test_whole_path.py
@@ -24,8 +24,8 @@
 from railtide.platform.tests.hosts import HOST
 from railtide.platform.upstreams import PlatformUpstreams
 from railtide.standins.keyed_store import MemoryStore
-from railtide.standins.narrow_link import NarrowLink
 from railtide.standins.platform import EngineScript, PlatformEngine, StoreServer, engine_entry
+from railtide.standins.throttled_link import ThrottledLink
 from railtide.telemetry.counters import Counters
 
 ROUTE = {"host": "h.example", "service": "s", "timeout_ms": 3000, "goal_ms": 500}
@@ -121,7 +121,7 @@
 async def world(
     state: bytes | None = None,
     suspensions: Suspensions | None = None,
-    link: NarrowLink | None = None,
+    link: ThrottledLink | None = None,
     store: MemoryStore | None = None,
     instance: str = "i1",
 ) -> AsyncIterator[World]:
--- a/railtide/router/tests/test_uplink.py
+++ b/railtide/router/tests/test_uplink.py
@@ -6,7 +6,7 @@
 
 from railtide.membership.instances import Instance
 from railtide.router.uplink import Uplink
-from railtide.standins.narrow_stream import narrow_stream_pair
+from railtide.standins.throttled_stream import throttled_stream_pair
 from railtide.wire.links import Link, TcpLink
 from railtide.wire.messages import LogStatusMessage, MembersMessage, Message
 
@@ -27,7 +27,7 @@
         async with trio.open_nursery() as nursery:
 
             async def connect() -> Link:
-                near, far = narrow_stream_pair(nursery)
+                near, far = throttled_stream_pair(nursery)
                 nursery.start_soon(TcpLink(far).send, MEMBERS)
                 return TcpLink(near)
 
@@ -43,10 +43,10 @@
         async with trio.open_nursery() as nursery:
 
             async def connect_silent() -> Link:
-                return TcpLink(narrow_stream_pair(nursery)[0])
+                return TcpLink(throttled_stream_pair(nursery)[0])
 
             async def connect() -> Link:
-                near, far = narrow_stream_pair(nursery)
+                near, far = throttled_stream_pair(nursery)
                 nursery.start_soon(TcpLink(far).send, status)
                 return TcpLink(near)
 
--- a/railtide/standins/narrow_link.py
+++ b/railtide/standins/throttled_link.py
@@ -7,7 +7,7 @@
 
 import trio
 
-__all__ = ["Lane", "NarrowLink"]
+__all__ = ["LinkDirection", "ThrottledLink"]
 
 MOST_CHUNK_BYTES = 1_448
 """One segment of an Ethernet frame."""
@@ -19,7 +19,7 @@
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
-class Lane:
+class LinkDirection:
     """One direction; its rate is shared by all connections.
 
     Parameters
@@ -30,13 +30,13 @@
     ----------
     bytes_per_s : float
         May be set at any time.
-    passed_bytes : int
+    forwarded_bytes : int
         Bytes passed on so far.
     """
 
     def __init__(self, bytes_per_s: float) -> None:
         self.bytes_per_s = bytes_per_s
-        self.passed_bytes = 0
+        self.forwarded_bytes = 0
         self._free_at = 0.0
 
     @property
@@ -66,7 +66,7 @@
             stream.socket.close()
 
 
-class NarrowLink:
+class ThrottledLink:
     """Passes connections on to one port on loopback.
 
     Parameters
@@ -78,15 +78,15 @@
 
     Attributes
     ----------
-    up, down : Lane
+    up, down : LinkDirection
         The ways to the port and back.
     opened : int
         Connections so far.
     """
 
     def __init__(self, bytes_per_s: float, latency_s: float = 0.0) -> None:
-        self.up = Lane(bytes_per_s)
-        self.down = Lane(bytes_per_s)
+        self.up = LinkDirection(bytes_per_s)
+        self.down = LinkDirection(bytes_per_s)
         self.opened = 0
         self._latency_s = latency_s
         self._connections: set[_Connection] = set()
@@ -106,21 +106,21 @@
 
     # -- faults -------------------------------------------------------------------------------
 
-    def hold(self) -> None:
-        """Pass nothing on, on any connection, until `pass_on`; no byte is lost."""
+    def pause(self) -> None:
+        """Pass nothing on, on any connection, until `resume`; no byte is lost."""
         if self._passing.is_set():
             self._passing = trio.Event()
 
-    def pass_on(self) -> None:
+    def resume(self) -> None:
         """Pass on again, first what was held."""
         self._passing.set()
 
-    def lose_open(self) -> None:
+    def blackhole_connections(self) -> None:
         """Make the connections that are open now silent for good; new ones work."""
         for connection in self._connections:
             connection.lost = True
 
-    def reset_open(self) -> None:
+    def reset_connections(self) -> None:
         """Reset the connections that are open now; new ones work."""
         for connection in list(self._connections):
             connection.close(reset=True)
@@ -146,7 +146,7 @@
         connection: _Connection,
         source: trio.SocketStream,
         target: trio.SocketStream,
-        lane: Lane,
+        lane: LinkDirection,
         scope: trio.CancelScope,
     ) -> None:
         """Pass one direction on to its end, which ends the connection."""
@@ -166,7 +166,7 @@
         self,
         connection: _Connection,
         source: trio.SocketStream,
-        lane: Lane,
+        lane: LinkDirection,
         send: trio.MemorySendChannel[tuple[float, bytes]],
     ) -> None:
         """Read chunks, each when its turn on the lane has come."""
@@ -181,10 +181,10 @@
         self,
         connection: _Connection,
         chunk: bytes,
-        lane: Lane,
+        lane: LinkDirection,
         send_all: Callable[[bytes], Awaitable[None]],
     ) -> None:
         await self._passing.wait()
         if not connection.lost:
             await send_all(chunk)
-            lane.passed_bytes += len(chunk)
+            lane.forwarded_bytes += len(chunk)
--- a/railtide/standins/narrow_stream.py
+++ b/railtide/standins/throttled_stream.py
@@ -3,9 +3,9 @@
 import trio
 import trio.testing
 
-__all__ = ["NARROW_BYTES_S", "narrow_stream_pair"]
+__all__ = ["THROTTLED_BYTES_PER_S", "throttled_stream_pair"]
 
-NARROW_BYTES_S = 625_000
+THROTTLED_BYTES_PER_S = 625_000
 """A link of 5 Mbit/s."""
 PIECE_BYTES = 6_250
 
@@ -22,8 +22,8 @@
         pass  # one end is gone; the other finds it so
 
 
-def narrow_stream_pair(
-    nursery: trio.Nursery, bytes_per_s: float = NARROW_BYTES_S
+def throttled_stream_pair(
+    nursery: trio.Nursery, bytes_per_s: float = THROTTLED_BYTES_PER_S
 ) -> tuple[trio.abc.Stream, trio.abc.Stream]:
     """Return the two ends of a link; tasks in the nursery carry its bytes, and hold none back."""
     near, near_inside = trio.testing.lockstep_stream_pair()
