--- a/railtide/budgets/tests/test_large_partition.py
+++ b/railtide/budgets/tests/test_large_partition.py
@@ -33,7 +33,7 @@
 
 def store_of_a_fleet(store: MemoryStore | None = None) -> MemoryStore:
     store = store or MemoryStore()
-    store.most_call_bytes = CALL_BYTES
+    store.max_call_bytes = CALL_BYTES
     value = ledger_to_bytes(ledger_of_a_fleet())
     for number in range(ACCOUNTS):
         store.put(OPTIONS.topic, f"account-{number}", value)
@@ -187,7 +187,7 @@
             await trio.sleep(20)
             changed = Ledger(closed=1_000_000)
             store.put(OPTIONS.topic, "account-7", ledger_to_bytes(changed))
-            store.topic(OPTIONS.topic).forget()
+            store.topic(OPTIONS.topic).compact()
             await trio.sleep(20)
             assert part.budget("account-7").is_spent(1)
             nursery.cancel_scope.cancel()
--- a/railtide/budgets/tests/test_ledger_budget_source.py
+++ b/railtide/budgets/tests/test_ledger_budget_source.py
@@ -210,7 +210,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(made.run)
             await made.reserve(ACCOUNT, SETTINGS, 50, trio.current_time() + 9)
-            store.do_late()
+            store.apply_late_appends()
             await trio.sleep(2)
             nursery.cancel_scope.cancel()
         assert committed(ledger_of(store)) == 50
@@ -262,7 +262,7 @@
             other = ledger_of(store)
             other.by_instance["i2"] = Holding("i2-1", granted=900)
             store.put(OPTIONS.topic, ACCOUNT, ledger_to_bytes(other))
-            store.topic(OPTIONS.topic).forget()
+            store.topic(OPTIONS.topic).compact()
             with pytest.raises(BudgetUnavailable):
                 await made.reserve(ACCOUNT, SETTINGS, 500, trio.current_time() + 9)
             nursery.cancel_scope.cancel()
@@ -521,9 +521,9 @@
             self.store.late_appends = 1 if fault == "late" else 0
             self.store.delay_s = 0.2 if fault == "slow" else 0.004
             if fault == "forget":
-                self.store.topic(OPTIONS.topic).forget()
+                self.store.topic(OPTIONS.topic).compact()
             if rng.random() < 0.5:
-                self.store.do_late()
+                self.store.apply_late_appends()
 
 
 def play(fleet: Fleet, seed: int) -> None:
--- a/railtide/budgets/tests/test_peer_reports.py
+++ b/railtide/budgets/tests/test_peer_reports.py
@@ -293,7 +293,7 @@
             self.store.late_appends = 1 if fault == "late" else 0
             self.store.delay_s = 0.2 if fault == "slow" else 0.004
             if rng.random() < 0.5:
-                self.store.do_late()
+                self.store.apply_late_appends()
 
 
 class TestNoOverspend:
--- a/railtide/containment/tests/test_interleavings.py
+++ b/railtide/containment/tests/test_interleavings.py
@@ -174,7 +174,7 @@
         elif name == "late":
             self.store.late_appends += 1
         elif name == "land":
-            self.store.do_late()
+            self.store.apply_late_appends()
         elif name in ("away", "back"):
             self.store.down = name == "away"
         else:
--- a/railtide/containment/tests/test_registry.py
+++ b/railtide/containment/tests/test_registry.py
@@ -98,7 +98,7 @@
         fleet = Fleet(nursery)
         for number in range(3):
             await fleet.crash(f"i-{number}", BAD)
-            fleet.store.topic(TOPIC).forget()
+            fleet.store.topic(TOPIC).compact()
         later = fleet.start("r9")
         await trio.sleep(PROPAGATION_S)
         assert later.refusal_of(BAD)
@@ -116,7 +116,7 @@
         fleet.store.late_appends = 2
         await fleet.crash("i-1", BAD)
         await fleet.crash("i-2", BAD, seen_by=1)
-        fleet.store.do_late()
+        fleet.store.apply_late_appends()
         await trio.sleep(PROPAGATION_S)
         assert not any(fleet.refused(BAD))
 
@@ -228,7 +228,7 @@
         await fleet.crash("i-1", GOOD)
         fleet.registries[0].note_completed(GOOD)
         await trio.sleep(PROPAGATION_S)
-        fleet.store.do_late()
+        fleet.store.apply_late_appends()
         await trio.sleep(PROPAGATION_S)
         later = fleet.start("r9")
         await trio.sleep(PROPAGATION_S)
--- a/railtide/edge/tests/test_rollback_fleet.py
+++ b/railtide/edge/tests/test_rollback_fleet.py
@@ -46,7 +46,7 @@
                     nursery.start_soon(fleet.call, machine, pause_s, 100)
             await scenario(fleet)
             fleet.memory.down = False
-            fleet.memory.do_late()
+            fleet.memory.apply_late_appends()
             for machine in fleet.machines:
                 if machine.store:
                     machine.store.cut = False
@@ -206,7 +206,7 @@
             fleet.memory.roll_back(copy)
             for _ in range(200):
                 await trio.sleep(0.05)
-                fleet.memory.do_late_at(TOPIC)
+                fleet.memory.apply_late_appends_to(TOPIC)
 
         assert play(scenario) <= PREPAID
 
@@ -295,7 +295,7 @@
 
     async def _do_late(self, fleet: RollbackFleet, for_s: float) -> None:
         await trio.sleep(for_s)
-        fleet.memory.do_late()
+        fleet.memory.apply_late_appends()
 
 
 class TestHistories:
--- a/railtide/journal/tests/test_feed.py
+++ b/railtide/journal/tests/test_feed.py
@@ -66,7 +66,7 @@
             store.put("t", "a", b"1")
             store.put("t", "b", b"2")
             store.put("t", "a", b"")
-            store.topic("t").forget()
+            store.topic("t").compact()
             store.down = False
             await trio.sleep(3)
             assert case.seen == [("b", b"2")]
--- a/railtide/journal/tests/test_feed_freshness.py
+++ b/railtide/journal/tests/test_feed_freshness.py
@@ -20,7 +20,7 @@
             assert feed.is_current()
             store.delay_s = 3.0
             store.put("t", "a", b"1")
-            store.topic("t").forget()
+            store.topic("t").compact()
             await trio.sleep(4.5)
             assert not feed.is_current()
             await trio.sleep(3.0)
--- a/railtide/platform/tests/test_crashing_requests.py
+++ b/railtide/platform/tests/test_crashing_requests.py
@@ -264,7 +264,7 @@
             for number in range(9):
                 await made.ask(number % ROUTERS, BAD, "/once/x")
                 await trio.sleep(0.2)
-            made.store.do_late()
+            made.store.apply_late_appends()
             assert len(made.ends()) == MOST_ENDS
 
 
--- a/railtide/platform/tests/test_drained_domains.py
+++ b/railtide/platform/tests/test_drained_domains.py
@@ -170,7 +170,7 @@
             w.store.down = True
             await trio.sleep(0.3)
             (take_back if taken_back else order)(w.store, "a")
-            w.store.topic("keyed.op").forget()
+            w.store.topic("keyed.op").compact()
             w.store.down = False
             await until(lambda: w.node.drained_domains == (set() if taken_back else {"a"}), 2.0)
 
--- a/railtide/platform/tests/test_store.py
+++ b/railtide/platform/tests/test_store.py
@@ -78,7 +78,7 @@
             with pytest.raises(AppendConflict) as conflict:
                 await store.append("keyed.t", {"a": b"2"}, expected_end=0)
             assert conflict.value.end == 1
-            memory.topic("keyed.t").forget()
+            memory.topic("keyed.t").compact()
             with pytest.raises(RecordsExpired) as expired:
                 await store.read("keyed.t", 0, 0.0)
             assert expired.value.first == 1
--- a/railtide/standins/keyed_store.py
+++ b/railtide/standins/keyed_store.py
@@ -47,7 +47,7 @@
         self.raw_by_offset[self.end] = content
         self.records.append(KeyedRecord("", b"", self.end))
 
-    def forget(self) -> None:
+    def compact(self) -> None:
         """Drop the history; the newest records stay."""
         self.first = self.end
         self.records.clear()
@@ -74,10 +74,10 @@
     lose_answers : int
         So many coming appends are done and not answered.
     late_appends : int
-        So many coming appends are not answered, and done only when `do_late` is called.
+        So many coming appends are not answered, and done only when `apply_late_appends` is called.
     delay_s : float
         Time that a call takes.
-    most_call_bytes : float
+    max_call_bytes : float
         An append of more bytes of keys and values is refused, nothing is done.
     era : int or None
         Rises with each rollback; None for a store that tells none.
@@ -92,7 +92,7 @@
         self.lose_answers = 0
         self.late_appends = 0
         self.delay_s = 0.0
-        self.most_call_bytes = float("inf")
+        self.max_call_bytes = float("inf")
         self.calls = 0
         self._topic_by_name: dict[tuple[str, int], MemoryTopic] = {}
         self._late: list[tuple[str, int, dict[str, bytes], int | None]] = []
@@ -178,7 +178,7 @@
     ) -> int:
         """Append records; see `KeyedStore.append`."""
         await self._call(partition)
-        if sum(map(len, [*values_by_key, *values_by_key.values()])) > self.most_call_bytes:
+        if sum(map(len, [*values_by_key, *values_by_key.values()])) > self.max_call_bytes:
             raise LogUnavailable("the append is too large")
         known = self.topic(topic, partition)
         if self.late_appends:
@@ -193,14 +193,14 @@
             raise LogUnavailable("the answer was lost")
         return known.end
 
-    def do_late(self) -> None:
+    def apply_late_appends(self) -> None:
         """Do the appends that were late, where their condition still holds."""
         for topic, partition, values, expected_end in self._late:
             if expected_end is None or expected_end == self.topic(topic, partition).end:
                 self._write(topic, partition, values)
         self._late.clear()
 
-    def do_late_at(self, topic: str) -> None:
+    def apply_late_appends_to(self, topic: str) -> None:
         """Do the conditional appends to a topic that were late and would be done now."""
         for late in list(self._late):
             name, partition, values, expected_end = late
--- a/tests/edge_soak/crashes.py
+++ b/tests/edge_soak/crashes.py
@@ -51,7 +51,7 @@
 
 
 async def _forget_marks(fleet: Fleet, rng: Random, length: float) -> None:
-    fleet.store.topic(TOPIC).forget()
+    fleet.store.topic(TOPIC).compact()
 
 
 async def _kill_engine(fleet: Fleet, rng: Random, length: float) -> None:
--- a/tests/edge_soak/faults.py
+++ b/tests/edge_soak/faults.py
@@ -180,12 +180,12 @@
 async def _late_appends(fleet: Fleet, rng: Random, length: float) -> None:
     fleet.store.late_appends += rng.randint(1, 6)
     await trio.sleep(length)
-    fleet.store.do_late()
+    fleet.store.apply_late_appends()
 
 
 async def _forget(fleet: Fleet, rng: Random, length: float) -> None:
     for topic in ("keyed.op", "keyed.servers"):
-        fleet.store.topic(topic).forget()
+        fleet.store.topic(topic).compact()
 
 
 async def _publish(fleet: Fleet, rng: Random, length: float) -> None:
@@ -260,4 +260,4 @@
     """Take back what may still be in force when all faults have ended."""
     fleet.store.lose_answers = 0
     fleet.store.late_appends = 0
-    fleet.store.do_late()
+    fleet.store.apply_late_appends()
