--- a/railtide/platform/tests/test_answer_ends.py
+++ b/railtide/platform/tests/test_answer_ends.py
@@ -75,8 +75,8 @@
 
     async def test_stream_without_ids_is_not_repeated_from_its_start(self) -> None:
         async with world() as w:
-            cut = EngineScript(events=EVENTS, break_after=2, numbered=False)
-            left = await add_engines(w, cut, EngineScript(events=EVENTS, numbered=False))
+            cut = EngineScript(events=EVENTS, break_after=2, has_event_ids=False)
+            left = await add_engines(w, cut, EngineScript(events=EVENTS, has_event_ids=False))
             assert await read(await w.ask("/resume/x")) == (b"data: x1\n\ndata: x2\n\n", False)
             assert len(left) == 1
 
@@ -97,7 +97,9 @@
 
     async def test_run_without_an_event_is_not_whole(self) -> None:
         """Nothing tells it from one whose engine was lost behind the head."""
-        empty = EngineScript(events=EVENTS, break_after=0, half_bytes=0, framing=Framing.CLOSE)
+        empty = EngineScript(
+            events=EVENTS, break_after=0, partial_event_bytes=0, framing=Framing.CLOSE
+        )
         async with world() as w:
             cut = EngineScript(events=EVENTS, break_after=2)
             await add_engines(w, empty, cut, empty)
@@ -110,12 +112,12 @@
             assert await read(await w.ask("/stream/x")) == (events(EVENTS), True)
 
     @pytest.mark.parametrize("half_bytes", [0, 5])
-    async def test_reset_is_never_whole(self, half_bytes: int) -> None:
+    async def test_reset_is_never_whole(self, partial_event_bytes: int) -> None:
         async with world() as w:
             cut = EngineScript(
                 events=EVENTS,
                 break_after=2,
-                half_bytes=half_bytes,
+                partial_event_bytes=partial_event_bytes,
                 framing=Framing.CLOSE,
                 reset=True,
             )
@@ -141,7 +143,7 @@
     EngineScript,
     events=st.just(EVENTS),
     break_after=st.integers(-1, EVENTS),
-    half_bytes=st.sampled_from([0, 4, 6, 15]),
+    partial_event_bytes=st.sampled_from([0, 4, 6, 15]),
     framing=st.sampled_from(list(Framing)),
     reset=st.booleans(),
 )
@@ -173,7 +175,7 @@
     if run.framing is Framing.LENGTH:
         return all_sent
     sent = (EVENTS if all_sent else run.break_after) - began_behind
-    return not run.reset and sent > 0 and (all_sent or not run.half_bytes)
+    return not run.reset and sent > 0 and (all_sent or not run.partial_event_bytes)
 
 
 def expected(runs: list[EngineScript]) -> tuple[int, bool]:
--- a/railtide/platform/tests/test_crashing_requests.py
+++ b/railtide/platform/tests/test_crashing_requests.py
@@ -45,7 +45,7 @@
 from railtide.platform.tests.test_whole_path import desired_state, serve
 from railtide.platform.upstreams import PlatformUpstreams
 from railtide.standins.answers import Framing
-from railtide.standins.crashing_engine import CRASH_MARK, CrashingEngine
+from railtide.standins.crashing_engine import CRASH_PREFIX, CrashingEngine
 from railtide.standins.keyed_store import MemoryStore
 from railtide.standins.platform import EngineScript, StoreServer, engine_entry
 from railtide.telemetry.counters import Counters
@@ -58,7 +58,7 @@
 """After the third end until no router sends the content on any more; users allow 3 s."""
 LEAST_SERVED = 0.95
 """Of the innocent: one that was under way at two ends has used up its tries."""
-BAD = CRASH_MARK + b" the same each time"
+BAD = CRASH_PREFIX + b" the same each time"
 
 
 @dataclass
@@ -129,7 +129,9 @@
 
     def ends(self) -> list[float]:
         """Return when lives of engines ended, in order."""
-        return sorted(at for engine in self.engines for at in engine.ended_at_by_life.values())
+        return sorted(
+            at for engine in self.engines for at in engine.crashed_at_by_incarnation.values()
+        )
 
     def arrivals(self, body: bytes) -> list[float]:
         """Return when a body reached engines, in order."""
@@ -194,18 +196,18 @@
     @pytest.mark.parametrize("path", ["/safe/x", "/once/x", "/stream/x", "/resume/x", "/open/x"])
     @pytest.mark.parametrize("begins", [True, False])
     async def test_three_engines_end_on_any_route(self, path: str, begins: bool) -> None:
-        async with site(begins=begins) as made:
+        async with site(sends_head=begins) as made:
             await bad_at_each(made, 9, path)
             assert len(made.ends()) == MOST_ENDS
             assert made.statuses_by_body[BAD][-1] == 503
 
     async def test_reborn_under_the_same_id_is_another_life(self) -> None:
-        async with site(keeps_id=True, down_s=0.05) as made:
+        async with site(keeps_id=True, restart_delay_s=0.05) as made:
             await bad_at_each(made, 9)
             assert len(made.ends()) == MOST_ENDS
 
     async def test_engine_that_is_back_at_once_has_ended_all_the_same(self) -> None:
-        async with site(down_s=0.0) as made:
+        async with site(restart_delay_s=0.0) as made:
             for number in range(9):
                 await made.ask(number % ROUTERS, BAD)
                 await trio.sleep(0.5)
@@ -286,7 +288,7 @@
                 nursery.start_soon(innocents, made, 5.0, 0.03)
                 for number in range(8):
                     await trio.sleep(0.6)
-                    made.engines[number % ENGINES].end()
+                    made.engines[number % ENGINES].crash()
             codes = [code for codes in made.refusals_by_body.values() for code in codes]
             assert "content-held" not in codes
 
@@ -328,17 +330,17 @@
                         await trio.sleep(0.01)
                 (busy,) = [engine for engine in made.engines if engine.arrivals]
                 entry = engine_entry(f"{HOST}:{busy.port}") | {"state": "draining"}
-                made.store.put("keyed.servers", busy.life, msgspec.json.encode(entry))
+                made.store.put("keyed.servers", busy.incarnation, msgspec.json.encode(entry))
                 await trio.sleep(0.5)
-                busy.end()
+                busy.crash()
             await trio.sleep(0.3)
             assert made.store.topic(TOPIC).end == 0
 
 
 class TestEndedEngine:
     async def test_address_where_nobody_listens_is_tried_once_while_it_is_listed(self) -> None:
-        async with site(down_s=60.0) as made:
-            made.engines[0].end()
+        async with site(restart_delay_s=60.0) as made:
+            made.engines[0].crash()
             for number in range(30):
                 await made.ask(0, b"%d" % number, "/safe/x")
             counted = made.nodes[0].counters.value("attempts_failed_upstream_refused")
--- a/railtide/platform/tests/test_leaving_engines.py
+++ b/railtide/platform/tests/test_leaving_engines.py
@@ -41,7 +41,7 @@
             told_at = next(answer.at for answer in engine.answers if answer.notices)
             assert engine.arrivals[-1].at < told_at + 0.1
             assert set(fleet.statuses) == {200}
-            assert engine.stopped == 0
+            assert engine.cancelled_requests == 0
 
     async def test_refusal_says_it_too(self) -> None:
         async with open_router_fleet(routers=1, engines=2) as fleet:
--- a/railtide/platform/tests/test_whole_path.py
+++ b/railtide/platform/tests/test_whole_path.py
@@ -337,7 +337,7 @@
             answer = await w.ask("/stream/x")
             answer.abandon()
             with trio.fail_after(5):
-                while not engine.stopped:
+                while not engine.cancelled_requests:
                     await trio.sleep(0.01)
 
     async def test_route_timeout_ends_a_request(self) -> None:
--- a/railtide/standins/__init__.py
+++ b/railtide/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the platform and the upstreams, each with faults that can be set."""
+"""Test doubles of the platform and the upstreams, each with injectable faults."""
--- a/railtide/standins/answers.py
+++ b/railtide/standins/answers.py
@@ -1,4 +1,4 @@
-"""Answers written byte by byte, with each way in which they can be framed and end."""
+"""HTTP answers written as raw bytes, with a choice of body framing and of how they end."""
 
 import struct
 from enum import StrEnum
@@ -9,14 +9,14 @@
 
 __all__ = ["Framing", "RawAnswer"]
 
-ARRIVAL_S = 0.02
-"""Pause before a reset, so that what was sent before it has been read."""
-LINGER_NOT = struct.pack("ii", 1, 0)
-"""Makes a close a reset."""
+RESET_DELAY_S = 0.02
+"""Pause before a reset, so that the peer reads what was sent before it."""
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)
+"""Value of SO_LINGER with which a close resets the connection."""
 
 
 class Framing(StrEnum):
-    """What tells the end of a body."""
+    """How a reader finds the end of a body."""
 
     CHUNKED = "chunked"
     LENGTH = "length"
@@ -24,14 +24,14 @@
 
 
 class RawAnswer:
-    """An answer on a connection that is closed after it.
+    """Writes one answer to a connection that is closed after it.
 
     Parameters
     ----------
     stream : trio.SocketStream
     framing : Framing
     length : int
-        Of the whole body, also where less of it is sent.
+        Bytes of the whole body, also if less of it is sent.
     """
 
     def __init__(self, stream: trio.SocketStream, framing: Framing, length: int) -> None:
@@ -57,12 +57,12 @@
         await self._stream.send_all(data)
 
     async def finish(self) -> None:
-        """Send what tells the body's end, if anything does but the close."""
+        """Send the last chunk of a chunked body; the other framings need nothing."""
         if self._framing is Framing.CHUNKED:
             await self._stream.send_all(b"0\r\n\r\n")
 
     async def reset(self) -> None:
         """Reset the connection."""
-        await trio.sleep(ARRIVAL_S)
-        self._stream.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_LINGER, LINGER_NOT)
+        await trio.sleep(RESET_DELAY_S)
+        self._stream.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_LINGER, RESET_ON_CLOSE)
         self._stream.socket.close()
--- a/railtide/standins/engine.py
+++ b/railtide/standins/engine.py
@@ -1,7 +1,7 @@
-"""Stand-in for a model engine: continuous batching, streams that can be resumed and cancelled.
+"""Stand-in for a model engine: continuous batching, streams that can be resumed or cancelled.
 
 A request's output length is the number after ``tokens=`` in its last message, or its
-``max_tokens``. Generation goes on when the caller goes away, until it is cancelled.
+``max_tokens``. Generation continues after the caller disconnects, unless it is cancelled.
 """
 
 import re
@@ -25,9 +25,9 @@
 BYTES_PER_TOKEN = 4
 NOT_RUN = {"x-run": "not-run"}
 END_MARK = b"data: [DONE]\n\n"
-OTHER_ID = "rt-somebody-elses"
+FOREIGN_ID = "rt-somebody-elses"
 DEFAULT_TOKENS = 16
-MOST_RUNS = 200_000
+MAX_RUNS = 200_000
 
 
 class _Message(msgspec.Struct):
@@ -46,7 +46,7 @@
 
 @dataclass
 class EngineRun:
-    """What the engine truly did for one request."""
+    """State of one request at the engine: its lengths, and what was generated so far."""
 
     request_id: str
     prompt_tokens: int
@@ -55,15 +55,15 @@
     generated: int = 0
     cancelled: bool = False
     starts: int = 1
-    grown: trio.Event = field(default_factory=trio.Event)
+    output_changed: trio.Event = field(default_factory=trio.Event)
 
     @property
     def done(self) -> bool:
-        """True once all its output is there."""
+        """True once all output is generated."""
         return self.generated >= self.output_tokens
 
     def events(self, request_id: str, begin: int) -> list[bytes]:
-        """Return the server-sent events from token `begin` on that are generated."""
+        """Return the server-sent events of the tokens generated so far, from token `begin` on."""
         return [self._event(request_id, index) for index in range(begin, self.generated)]
 
     def _event(self, request_id: str, index: int) -> bytes:
@@ -84,7 +84,7 @@
         )
 
     def body(self, request_id: str) -> bytes:
-        """Return the whole answer that is not streamed."""
+        """Return the body of an answer that is not streamed."""
         text = "".join(f"tok{index} " for index in range(self.output_tokens))
         return (
             f'{{"id":"{request_id}","object":"chat.completion","choices":[{{"index":0,'
@@ -92,22 +92,22 @@
             f'"usage":{self._usage()}}}'
         ).encode()
 
-    def whole(self) -> bytes:
-        """Return the whole answer in the form that was asked for."""
+    def full_answer(self) -> bytes:
+        """Return the complete answer, streamed or not as the request asked."""
         if not self.stream:
             return self.body(self.request_id)
         return b"".join(self.events(self.request_id, 0)) + END_MARK
 
 
 class Engine:
-    """A batch of at most `batch` requests, one token each per `token_s`; the rest queue.
+    """Generates one token per `token_s` for each of at most `batch` requests; the rest queue.
 
     Parameters
     ----------
     token_s : float
-        Seconds a token.
+        Seconds per token.
     batch : int
-        Most requests generating at once.
+        Maximum of requests generating at once.
     """
 
     def __init__(self, token_s: float = 0.01, batch: int = 32) -> None:
@@ -115,23 +115,23 @@
         self.batch = batch
         self.leaving = False
         self.runs_by_id: dict[str, EngineRun] = {}
-        self._work = trio.Event()
+        self._work_arrived = trio.Event()
         self._cancelled_early: dict[str, None] = {}
         self._active: list[EngineRun] = []
         self._queued: list[EngineRun] = []
 
     @property
     def running(self) -> int:
-        """Requests generating."""
+        """Number of requests generating."""
         return len(self._active)
 
     @property
     def queued(self) -> int:
-        """Requests waiting."""
+        """Number of requests waiting for a place in the batch."""
         return len(self._queued)
 
     def start(self, request_id: str, body: EngineBody) -> EngineRun:
-        """Start a request; a repeat of the same id joins the run that is there."""
+        """Start a request; a repeated id joins the existing run."""
         known = self.runs_by_id.get(request_id)
         if known:
             known.starts += 1
@@ -143,15 +143,15 @@
         wanted = int(found.group(1)) if found else body.max_tokens
         run = EngineRun(request_id, prompt, max(1, min(wanted, body.max_tokens)), body.stream)
         self.runs_by_id[request_id] = run
-        if len(self.runs_by_id) > MOST_RUNS:
+        if len(self.runs_by_id) > MAX_RUNS:
             del self.runs_by_id[next(iter(self.runs_by_id))]
         self._queued.append(run)
-        self._work.set()
-        self._fill()
+        self._work_arrived.set()
+        self._fill_batch()
         return run
 
     def run_report(self, request_id: str) -> RunReport:
-        """Return what became of a request."""
+        """Return the state and usage of a request's run."""
         run = self.runs_by_id.get(request_id)
         if run is None:
             return RunReport(RunState.UNKNOWN)
@@ -161,10 +161,10 @@
         if not run.done:
             return RunReport(RunState.RUNNING, used)
         kind = EVENTS if run.stream else JSON
-        return RunReport(RunState.DONE, used, 200, kind, run.whole().decode())
+        return RunReport(RunState.DONE, used, 200, kind, run.full_answer().decode())
 
     def cancel(self, request_id: str) -> RunReport:
-        """Stop a request and return what it used; one not seen yet will not be started."""
+        """Stop a request and return its usage; an id not received yet will not be started."""
         self._cancel(request_id)
         return self.run_report(request_id)
 
@@ -176,44 +176,44 @@
         if run.done:
             return
         run.cancelled = True
-        run.grown.set()
+        run.output_changed.set()
         if run in self._queued:
             self._queued.remove(run)
         if run in self._active:
             self._active.remove(run)
 
-    def _fill(self) -> None:
+    def _fill_batch(self) -> None:
         while self._queued and len(self._active) < self.batch:
             self._active.append(self._queued.pop(0))
 
     async def run(self) -> None:
-        """Generate for ever, one token of each active request a step."""
+        """Generate until cancelled, one token of each active request per step."""
         while True:
             if not self._active:
-                self._work = trio.Event()
-                await self._work.wait()
+                self._work_arrived = trio.Event()
+                await self._work_arrived.wait()
             await trio.sleep(self.token_s)
             for run in list(self._active):
                 run.generated += 1
-                run.grown.set()
-                run.grown = trio.Event()
+                run.output_changed.set()
+                run.output_changed = trio.Event()
                 if run.done:
                     self._active.remove(run)
-            self._fill()
+            self._fill_batch()
 
 
 async def follow_run(run: EngineRun, answer_id: str, faults: Faults) -> AsyncIterator[bytes]:
-    """Yield a run's events as they come, with the faults of streams."""
-    cut = run.output_tokens // 2 if faults.take(FaultKind.TRUNCATE) else None
+    """Yield a run's events as they are generated, with the injected faults of streams."""
+    truncate_at = run.output_tokens // 2 if faults.take(FaultKind.TRUNCATE) else None
     repeat = faults.take(FaultKind.REPEAT) is not None
     sent = 0
     while sent < run.output_tokens:
         if run.generated == sent:
-            await run.grown.wait()
+            await run.output_changed.wait()
         if run.cancelled:
             return
         for event in run.events(answer_id, sent):
-            if cut is not None and sent >= cut:
+            if truncate_at is not None and sent >= truncate_at:
                 return
             yield event * 2 if repeat else event
             sent += 1
@@ -224,7 +224,7 @@
     """Return the engine's HTTP application."""
     app = QuartTrio("railtide.standins.engine")
 
-    async def strike() -> Response | None:
+    async def apply_faults() -> Response | None:
         slow = faults.take(FaultKind.SLOW)
         if slow:
             await trio.sleep(slow.seconds)
@@ -236,7 +236,7 @@
 
     @app.post("/v1/chat/completions")
     async def complete() -> Response:
-        failed = await strike()
+        failed = await apply_faults()
         if failed:
             return failed
         request_id = request.headers["x-request-id"]
@@ -247,10 +247,10 @@
         run = engine.start(request_id, body)
         if faults.take(FaultKind.LOST):
             return Response("lost", 500)
-        answer_id = OTHER_ID if faults.take(FaultKind.CROSS) else request_id
+        answer_id = FOREIGN_ID if faults.take(FaultKind.CROSS) else request_id
         if body.stream:
             return _stream(run, answer_id, faults)
-        return await _whole(run, answer_id, faults)
+        return await _full_answer(run, answer_id, faults)
 
     _add_follow_routes(app, engine, faults)
     _add_state_routes(app, engine)
@@ -259,7 +259,7 @@
 
 
 def _add_follow_routes(app: QuartTrio, engine: Engine, faults: Faults) -> None:
-    """Add the routes by which a request that was sent before is followed up."""
+    """Add the routes that resume, report or cancel an earlier request."""
 
     @app.get("/v1/streams/<request_id>")
     async def resume(request_id: str) -> Response:
@@ -278,7 +278,7 @@
 
 
 def _add_state_routes(app: QuartTrio, engine: Engine) -> None:
-    """Add the routes that tell or change the engine's own state."""
+    """Add the routes that report or change the engine's own state."""
 
     @app.get("/v1/load")
     async def load() -> Response:
@@ -293,7 +293,7 @@
 
     @app.get("/runs")
     async def runs() -> Response:
-        """Tell what truly ran, for tests."""
+        """Report all runs, for tests."""
         return _json(
             [
                 {
@@ -316,9 +316,9 @@
     return answer
 
 
-async def _whole(run: EngineRun, answer_id: str, faults: Faults) -> Response:
+async def _full_answer(run: EngineRun, answer_id: str, faults: Faults) -> Response:
     while not run.done and not run.cancelled:
-        await run.grown.wait()
+        await run.output_changed.wait()
     body = run.body(answer_id)
     if faults.take(FaultKind.TRUNCATE):
         body = body[: len(body) // 2]
--- a/railtide/standins/faults.py
+++ b/railtide/standins/faults.py
@@ -1,4 +1,4 @@
-"""Faults that a stand-in commits when told to."""
+"""Fault injection for the stand-ins."""
 
 from enum import StrEnum
 
@@ -8,24 +8,24 @@
 
 
 class FaultKind(StrEnum):
-    """What goes wrong.
+    """Kind of an injected fault.
 
     Attributes
     ----------
     SLOW
         Answers only after `seconds`.
     DOWN
-        Fails without any effect, and doesn't say so.
+        Fails without any effect, and doesn't report that nothing ran.
     REFUSE
-        Fails without any effect and says so.
+        Fails without any effect and reports that nothing ran.
     LOST
-        Takes effect and then fails.
+        Takes effect, then fails in place of answering.
     TRUNCATE
         Breaks the answer off in the middle.
     CROSS
         Answers with another request's id.
     REPEAT
-        Sends each part of the answer twice.
+        Sends each event of a stream twice.
     """
 
     SLOW = "slow"
@@ -38,7 +38,7 @@
 
 
 class Fault(msgspec.Struct):
-    """A fault, for the next `count` calls (-1 for all) of the kind `only` ("" for any)."""
+    """A fault for the next `count` calls (-1 for all) of the operation `only` ("" for any)."""
 
     kind: FaultKind
     count: int = -1
@@ -61,7 +61,7 @@
         self._faults.clear()
 
     def take(self, kind: FaultKind, what: str = "") -> Fault | None:
-        """Return the fault of this kind that strikes the call now, or None."""
+        """Return the fault of this kind that applies to a call now, or None; counts the call."""
         for fault in self._faults:
             if fault.kind is kind and fault.only in ("", what) and fault.count != 0:
                 fault.count -= 1 if fault.count > 0 else 0
--- a/railtide/standins/instances.py
+++ b/railtide/standins/instances.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's instance list, whose answers lag behind by a settable time."""
+"""Stand-in for the platform's instance list, which answers with an older version of the list."""
 
 from collections import deque
 
@@ -14,37 +14,37 @@
 __all__ = ["InstanceStore", "make_instances_app"]
 
 JSON = "application/json"
-MOST_VERSIONS = 256
+MAX_VERSIONS = 256
 
 
 class InstanceStore:
-    """Instances by name; `listed` answers as of `lag_s` ago."""
+    """Instances by name; `listed` returns the list of `lag_s` seconds ago."""
 
     def __init__(self, lag_s: float = 0.0) -> None:
         self.lag_s = lag_s
         self._by_name: dict[str, Instance] = {}
-        self._versions: deque[tuple[float, list[Instance]]] = deque(maxlen=MOST_VERSIONS)
+        self._versions: deque[tuple[float, list[Instance]]] = deque(maxlen=MAX_VERSIONS)
 
     def put(self, instance: Instance) -> None:
         """Add or replace an instance."""
         self._by_name[instance.name] = instance
-        self._note()
+        self._record_version()
 
     def remove(self, name: str) -> None:
         """Remove an instance; an unknown name is ignored."""
         self._by_name.pop(name, None)
-        self._note()
+        self._record_version()
 
     def listed(self) -> list[Instance]:
-        """Return the list as of the lag ago."""
-        as_of = trio.current_time() - self.lag_s
+        """Return the list as it was `lag_s` seconds ago, empty before its first version."""
+        listed_at = trio.current_time() - self.lag_s
         answer: list[Instance] = []
         for at, instances in self._versions:
-            if at <= as_of:
+            if at <= listed_at:
                 answer = instances
         return answer
 
-    def _note(self) -> None:
+    def _record_version(self) -> None:
         self._versions.append((trio.current_time(), list(self._by_name.values())))
 
 
--- a/railtide/standins/keyed_store.py
+++ b/railtide/standins/keyed_store.py
@@ -1,4 +1,4 @@
-"""A keyed store in memory, and the faults that the real one shows."""
+"""An in-memory keyed store with the faults of the platform's store."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
@@ -19,14 +19,14 @@
     Attributes
     ----------
     raw_by_offset : dict of int to bytes
-        What stands on the wire in place of a record that no reader can read.
+        Content sent in place of a record, for records that readers can't decode.
     """
 
     first: int = 0
     records: list[KeyedRecord] = field(default_factory=list)
     newest_by_key: dict[str, KeyedRecord] = field(default_factory=dict)
     raw_by_offset: dict[int, bytes] = field(default_factory=dict)
-    moved: trio.Event = field(default_factory=trio.Event)
+    changed: trio.Event = field(default_factory=trio.Event)
 
     @property
     def end(self) -> int:
@@ -43,23 +43,23 @@
             self.newest_by_key.pop(key, None)
 
     def add_raw(self, content: bytes) -> None:
-        """Append a record as another writer may, its content as it is."""
+        """Append a record with raw content, which readers may be unable to decode."""
         self.raw_by_offset[self.end] = content
         self.records.append(KeyedRecord("", b"", self.end))
 
     def compact(self) -> None:
-        """Drop the history; the newest records stay."""
+        """Drop the history; the newest record of each key stays."""
         self.first = self.end
         self.records.clear()
 
     def copy(self) -> "MemoryTopic":
-        """Return the records as they are now; nobody waits in the copy."""
+        """Return a copy of the records; readers that wait on this topic don't wait on the copy."""
         return MemoryTopic(
             self.first, list(self.records), dict(self.newest_by_key), dict(self.raw_by_offset)
         )
 
 
-Copy = Mapping[tuple[str, int], MemoryTopic]
+StoreCopy = Mapping[tuple[str, int], MemoryTopic]
 
 
 class MemoryStore(KeyedStore):
@@ -68,19 +68,20 @@
     Attributes
     ----------
     down : bool
-        Every call fails, nothing is done.
+        Every call fails without effect.
     down_partitions : set of int
-        Calls to these fail in every topic.
+        Calls to these partitions fail in every topic.
     lose_answers : int
-        So many coming appends are done and not answered.
+        Number of coming appends that take effect but get no answer.
     late_appends : int
-        So many coming appends are not answered, and done only when `apply_late_appends` is called.
+        Number of coming appends that get no answer and take effect only at
+        `apply_late_appends`.
     delay_s : float
-        Time that a call takes.
+        Duration of a call.
     max_call_bytes : float
-        An append of more bytes of keys and values is refused, nothing is done.
+        An append with more bytes of keys and values fails without effect.
     era : int or None
-        Rises with each rollback; None for a store that tells none.
+        Rises with each rollback; None for a store that reports no era.
     """
 
     era: int | None = None
@@ -99,45 +100,45 @@
         self._listeners: list[Callable[[], None]] = []
 
     def on_era_rise(self, listener: Callable[[], None]) -> None:
-        """Have a listener told; see `KeyedStore.on_era_rise`."""
+        """Register a listener; see `KeyedStore.on_era_rise`."""
         self._listeners.append(listener)
 
-    def copy(self) -> Copy:
-        """Return all topics as they are now."""
+    def copy(self) -> StoreCopy:
+        """Return a copy of all topics, for `roll_back`."""
         return {key: topic.copy() for key, topic in self._topic_by_name.items()}
 
-    def roll_back(self, copy: Copy) -> None:
-        """Come back from a copy, in the next era; a copy serves for several times."""
+    def roll_back(self, copy: StoreCopy) -> None:
+        """Restore a copy and raise the era; the same copy can be restored again."""
         before = self._topic_by_name
         self._topic_by_name = {key: topic.copy() for key, topic in copy.items()}
         self.era = (self.era or 0) + 1
         for topic in before.values():
-            topic.moved.set()
+            topic.changed.set()
         for listener in self._listeners:
             listener()
 
     def topic(self, name: str, partition: int = 0) -> MemoryTopic:
-        """Return a partition of a topic, made on first use."""
+        """Return a partition of a topic; an unknown one is created."""
         return self._topic_by_name.setdefault((name, partition), MemoryTopic())
 
     def put(self, topic: str, key: str, value: bytes) -> None:
-        """Append a record as others would."""
+        """Append a record as another writer, at once and without faults."""
         self._write(topic, 0, {key: value})
 
     def put_raw(self, topic: str, content: bytes, partition: int = 0) -> None:
-        """Append a record that need not be one that can be read."""
-        known = self.topic(topic, partition)
-        known.add_raw(content)
-        self._wake(known)
+        """Append a record with raw content, which readers may be unable to decode."""
+        partition_log = self.topic(topic, partition)
+        partition_log.add_raw(content)
+        self._wake(partition_log)
 
     async def newest(
         self, topic: str, partition: int = 0, progress: ReadProgress | None = None
     ) -> KeyedPage:
         """Return the newest records; see `KeyedStore.newest`."""
         await self._call(partition)
-        known = self.topic(topic, partition)
-        records = sorted(known.newest_by_key.values(), key=lambda record: record.offset)
-        return KeyedPage(records, known.end)
+        partition_log = self.topic(topic, partition)
+        records = sorted(partition_log.newest_by_key.values(), key=lambda record: record.offset)
+        return KeyedPage(records, partition_log.end)
 
     async def read(
         self,
@@ -150,24 +151,24 @@
         """Return records; see `KeyedStore.read`."""
         era = self.era
         await self._call(partition)
-        known = self.topic(topic, partition)
-        self._check_start(known, start)
-        if start >= known.end and wait_s:
+        partition_log = self.topic(topic, partition)
+        self._check_start(partition_log, start)
+        if start >= partition_log.end and wait_s:
             with trio.move_on_after(wait_s):
-                await known.moved.wait()
+                await partition_log.changed.wait()
             await self._call(partition)
             if self.era != era:
                 raise EraRisen("the store came back from a copy meanwhile")
-            self._check_start(known, start)
-        records = known.records[start - known.first :]
+            self._check_start(partition_log, start)
+        records = partition_log.records[start - partition_log.first :]
         if progress:
-            progress.begin(known.end, sum(len(record.value) for record in records))
-        return KeyedPage(records, known.end, known.end)
+            progress.begin(partition_log.end, sum(len(record.value) for record in records))
+        return KeyedPage(records, partition_log.end, partition_log.end)
 
-    def _check_start(self, known: MemoryTopic, start: int) -> None:
-        """Refuse an offset that is not there: one forgotten, or given out in a former era."""
-        if start < known.first or (self.era is not None and start > known.end):
-            raise RecordsExpired(known.first)
+    def _check_start(self, partition_log: MemoryTopic, start: int) -> None:
+        """Raise RecordsExpired for an offset that was compacted, or exists only in a former era."""
+        if start < partition_log.first or (self.era is not None and start > partition_log.end):
+            raise RecordsExpired(partition_log.first)
 
     async def append(
         self,
@@ -179,29 +180,29 @@
         """Append records; see `KeyedStore.append`."""
         await self._call(partition)
         if sum(map(len, [*values_by_key, *values_by_key.values()])) > self.max_call_bytes:
-            raise LogUnavailable("the append is too large")
-        known = self.topic(topic, partition)
+            raise LogUnavailable("append exceeds max_call_bytes")
+        partition_log = self.topic(topic, partition)
         if self.late_appends:
             self.late_appends -= 1
             self._late.append((topic, partition, values_by_key, expected_end))
             raise LogUnavailable("no answer")
-        if expected_end is not None and expected_end != known.end:
-            raise AppendConflict(known.end)
+        if expected_end is not None and expected_end != partition_log.end:
+            raise AppendConflict(partition_log.end)
         self._write(topic, partition, values_by_key)
         if self.lose_answers:
             self.lose_answers -= 1
-            raise LogUnavailable("the answer was lost")
-        return known.end
+            raise LogUnavailable("append took effect, answer lost")
+        return partition_log.end
 
     def apply_late_appends(self) -> None:
-        """Do the appends that were late, where their condition still holds."""
+        """Apply the late appends whose `expected_end` still matches; drop the others."""
         for topic, partition, values, expected_end in self._late:
             if expected_end is None or expected_end == self.topic(topic, partition).end:
                 self._write(topic, partition, values)
         self._late.clear()
 
     def apply_late_appends_to(self, topic: str) -> None:
-        """Do the conditional appends to a topic that were late and would be done now."""
+        """Apply the late appends to a topic whose `expected_end` matches now; keep the rest."""
         for late in list(self._late):
             name, partition, values, expected_end = late
             if name == topic and expected_end == self.topic(name, partition).end:
@@ -209,15 +210,15 @@
                 self._write(name, partition, values)
 
     def _write(self, topic: str, partition: int, values_by_key: dict[str, bytes]) -> None:
-        known = self.topic(topic, partition)
+        partition_log = self.topic(topic, partition)
         for key, value in values_by_key.items():
-            known.add(key, value)
-        self._wake(known)
+            partition_log.add(key, value)
+        self._wake(partition_log)
 
     @staticmethod
-    def _wake(known: MemoryTopic) -> None:
-        known.moved.set()
-        known.moved = trio.Event()
+    def _wake(partition_log: MemoryTopic) -> None:
+        partition_log.changed.set()
+        partition_log.changed = trio.Event()
 
     async def _call(self, partition: int) -> None:
         self.calls += 1
--- a/railtide/standins/log.py
+++ b/railtide/standins/log.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's append-only log: streams, offsets, limited retention."""
+"""Stand-in for the platform's append-only log: streams with offsets and limited retention."""
 
 from base64 import b64decode, b64encode
 from collections import deque
@@ -16,7 +16,7 @@
 
 __all__ = ["LogStore", "make_log_app"]
 
-MOST_RECORDS = 100_000
+MAX_RECORDS = 100_000
 JSON = "application/json"
 
 
@@ -24,7 +24,7 @@
 class _Stream:
     records: deque[LogRecord] = field(default_factory=deque)
     head: int = 0
-    grown: trio.Event = field(default_factory=trio.Event)
+    appended: trio.Event = field(default_factory=trio.Event)
 
 
 class LogStore:
@@ -33,12 +33,12 @@
     Parameters
     ----------
     now_ms : callable
-        The log's clock.
+        Returns the log's time in milliseconds, the stamp of each record.
     most_records : int
-        Records kept of a stream; older ones expire.
+        Records retained per stream; older ones expire.
     """
 
-    def __init__(self, now_ms: Callable[[], int], most_records: int = MOST_RECORDS) -> None:
+    def __init__(self, now_ms: Callable[[], int], most_records: int = MAX_RECORDS) -> None:
         self.appends = 0
         self.most_records = most_records
         self._now_ms = now_ms
@@ -48,7 +48,7 @@
         return self._by_name.setdefault(name, _Stream())
 
     def append(self, name: str, data: bytes) -> int:
-        """Append and return the offset."""
+        """Append a record and return its offset."""
         stream = self._stream(name)
         record = LogRecord(stream.head, self._now_ms(), data)
         stream.records.append(record)
@@ -56,8 +56,8 @@
         self.appends += 1
         while len(stream.records) > self.most_records:
             stream.records.popleft()
-        stream.grown.set()
-        stream.grown = trio.Event()
+        stream.appended.set()
+        stream.appended = trio.Event()
         return record.offset
 
     def expire(self, name: str, before: int) -> None:
@@ -67,15 +67,15 @@
             records.popleft()
 
     def records(self, name: str) -> list[LogRecord]:
-        """Return all records kept."""
+        """Return all retained records."""
         return list(self._stream(name).records)
 
     async def read(self, name: str, start: int, limit: int, wait_s: float) -> Page:
-        """Read; see `LogClient.read`."""
+        """Return records from an offset on; see `LogClient.read`."""
         stream = self._stream(name)
         if start >= stream.head and wait_s > 0:
             with trio.move_on_after(wait_s):
-                await stream.grown.wait()
+                await stream.appended.wait()
         first = stream.records[0].offset if stream.records else stream.head
         if start < first:
             raise RecordsExpired(first)
@@ -88,7 +88,7 @@
     """Return the log service's HTTP application."""
     app = QuartTrio("railtide.standins.log")
 
-    async def strike(what: str) -> Response | None:
+    async def apply_faults(what: str) -> Response | None:
         slow = faults.take(FaultKind.SLOW, what)
         if slow:
             await trio.sleep(slow.seconds)
@@ -98,7 +98,7 @@
 
     @app.post("/v1/streams/<stream>/records")
     async def append(stream: str) -> Response:
-        failed = await strike("append")
+        failed = await apply_faults("append")
         if failed:
             return failed
         body = msgspec.json.decode(await request.get_data())
@@ -109,7 +109,7 @@
 
     @app.get("/v1/streams/<stream>/records")
     async def read(stream: str) -> Response:
-        failed = await strike("read")
+        failed = await apply_faults("read")
         if failed:
             return failed
         args = request.args
--- a/railtide/standins/platform.py
+++ b/railtide/standins/platform.py
@@ -1,4 +1,4 @@
-"""The users' platform in small: its store and its engines over HTTP, with their faults."""
+"""Stand-ins for the users' platform: its store and its engines over HTTP, with their faults."""
 
 from base64 import b64encode
 from collections.abc import Callable, Mapping
@@ -25,14 +25,14 @@
 LIMIT = b"server-limit"
 LOAD = ((b"x-instance-load", b"1,0,8"),)
 KB = 1_024
-MOST_READ_KB = 1_024
-MOST_NEWEST = 500
-MOST_NEWEST_BYTES = 1_000_000
-"""Most records and most bytes in one answer, as the platform's page says of its store."""
+MAX_READ_KB = 1_024
+MAX_NEWEST = 500
+MAX_NEWEST_BYTES = 1_000_000
+"""Limits of records and bytes in one answer, as the platform documents them for its store."""
 
 
 def engine_entry(address: str, service: str = "s") -> dict[str, object]:
-    """Return what a ready engine writes of itself into the store."""
+    """Return the entry that a ready engine writes into the store."""
     return {
         "service": service,
         "address": address,
@@ -51,16 +51,16 @@
     Parameters
     ----------
     store : MemoryStore
-    era_told : callable, optional
-        Returns what its answers tell as their era, None for no such header; the store's own era
-        unless given.
+    reported_era : callable, optional
+        Returns the value of the era header of answers, None for no header; by default the
+        store's own era.
     """
 
     def __init__(
-        self, store: MemoryStore, era_told: Callable[[], str | None] | None = None
+        self, store: MemoryStore, reported_era: Callable[[], str | None] | None = None
     ) -> None:
         self._store = store
-        self._era_told = era_told or self._own_era
+        self._reported_era = reported_era or self._own_era
 
     async def handle(self, request: HttpRequest, responder: Responder) -> None:
         """Answer one call."""
@@ -79,8 +79,8 @@
         return None if self._store.era is None else str(self._store.era)
 
     def _headers(self) -> Headers:
-        told = self._era_told()
-        return () if told is None else ((ERA, told.encode()),)
+        era = self._reported_era()
+        return () if era is None else ((ERA, era.encode()),)
 
     async def _answer(
         self, path: str, query: Mapping[str, str], body: bytes, responder: Responder
@@ -97,12 +97,14 @@
         elif path == "/log-read":
             wait_s = int(query.get("wait_ms", 0)) / 1000
             page = await self._store.read(topic, int(query["from"]), wait_s, part)
-            known = self._store.topic(topic, part)
-            raw = known.raw_by_offset
+            partition_log = self._store.topic(topic, part)
+            raw = partition_log.raw_by_offset
             framed = [_framed(raw.get(r.offset, _content_of(r))) for r in page.records]
-            most = int(query.get("max_kb", MOST_READ_KB)) * KB
-            ends = page.end.to_bytes(8, "big") + known.first.to_bytes(8, "big")
-            await responder.answer(200, self._headers(), ends + b"".join(_first_of(framed, most)))
+            max_bytes = int(query.get("max_kb", MAX_READ_KB)) * KB
+            ends = page.end.to_bytes(8, "big") + partition_log.first.to_bytes(8, "big")
+            await responder.answer(
+                200, self._headers(), ends + b"".join(_first_of(framed, max_bytes))
+            )
 
     async def _json(self, responder: Responder, status: int, body: object) -> None:
         headers = ((b"content-type", b"application/json"), *self._headers())
@@ -125,21 +127,21 @@
 
 
 def _newest_page(page: KeyedPage, after: str) -> dict[str, object]:
-    """Return the records after a key, in the keys' order, as many as one answer takes."""
-    behind = sorted((r for r in page.records if r.key > after), key=lambda r: r.key)
-    values = [b64encode(r.value) for r in behind]
-    count = len(_first_of(values[:MOST_NEWEST], MOST_NEWEST_BYTES))
+    """Return the records after a key, ordered by key, up to the limits of one answer."""
+    following = sorted((r for r in page.records if r.key > after), key=lambda r: r.key)
+    values = [b64encode(r.value) for r in following]
+    count = len(_first_of(values[:MAX_NEWEST], MAX_NEWEST_BYTES))
     items = [
         {"key": r.key, "value": value.decode(), "offset": r.offset}
-        for r, value in zip(behind[:count], values, strict=False)
+        for r, value in zip(following[:count], values, strict=False)
     ]
-    return {"items": items, "has_more": count < len(behind), "end_offset": page.end}
+    return {"items": items, "has_more": count < len(following), "end_offset": page.end}
 
 
-def _first_of(parts: list[bytes], most_bytes: int) -> list[bytes]:
-    """Return the first parts that together are no longer than this, and the first in any case."""
+def _first_of(parts: list[bytes], max_bytes: int) -> list[bytes]:
+    """Return the longest prefix of the parts within a size limit, at least the first part."""
     totals = accumulate(len(part) for part in parts)
-    count = sum(1 for total in totals if total <= most_bytes)
+    count = sum(1 for total in totals if total <= max_bytes)
     return parts[: max(1, count)]
 
 
@@ -158,25 +160,24 @@
     events : int
         Events of a stream; 0 for a plain answer.
     not_run : bool
-        Refuse, and say that the request did not run.
+        Refuse with the header which states that the request did not run.
     break_after : int
-        Events of a stream, or bytes of a plain answer, after which it breaks off; -1 for not.
-    half_bytes : int
-        Bytes of the next event that a stream which breaks off still sends.
+        Events of a stream, or bytes of a plain answer, after which it is truncated; -1 for never.
+    partial_event_bytes : int
+        Bytes of the next event that a truncated stream still sends.
     framing : Framing
-        What tells the end of a stream, and of a plain answer that is not sound.
+        Of a stream, and of a plain answer that is not well-formed.
     reset : bool
-        End by a reset of the connection instead of a close.
+        Reset the connection after the answer instead of closing it.
     extra : bool
-        Send the answer once more after its end.
+        Send the answer a second time after its end.
     skip : int
-        Events that a resumed run leaves out.
-    numbered : bool
-        Whether the events have ids.
+        Events that a resumed stream omits.
+    has_event_ids : bool
     wrong_id, unsigned : bool
         Answer with another request's id, or without a signature.
     gap_s : float
-        Time before each event, and before a plain answer.
+        Delay before each event, and before a plain answer.
     """
 
     status: int = 200
@@ -184,36 +185,42 @@
     events: int = 0
     not_run: bool = False
     break_after: int = -1
-    half_bytes: int = 5
+    partial_event_bytes: int = 5
     framing: Framing = Framing.CHUNKED
     reset: bool = False
     extra: bool = False
     skip: int = 0
-    numbered: bool = True
+    has_event_ids: bool = True
     wrong_id: bool = False
     unsigned: bool = False
     gap_s: float = 0.0
 
     @property
-    def sound(self) -> bool:
-        """Whether an answer comes whole, alone and framed as most are."""
+    def well_formed(self) -> bool:
+        """Whether the answer is complete, sent once and chunked, and its connection not reset."""
         broken = self.break_after >= 0 or self.reset or self.extra
         return not broken and self.framing is Framing.CHUNKED
 
     def parts(self, last: int) -> list[bytes]:
-        """Return the body as it is sent, an event each, after the event that is named."""
+        """Return the body's parts as sent; of a stream, the events after event `last`."""
         if not self.events:
             return [self.body if self.break_after < 0 else self.body[: self.break_after]]
         first = last + 1 + (self.skip if last else 0)
-        whole = [self._event(number) for number in range(first, self.events + 1)]
+        remaining_events = [self._event(number) for number in range(first, self.events + 1)]
         if self.break_after < 0:
-            return whole
-        passed = max(0, self.break_after + 1 - first)
-        return [*whole[:passed], *(half[: self.half_bytes] for half in whole[passed : passed + 1])]
+            return remaining_events
+        whole_events = max(0, self.break_after + 1 - first)
+        return [
+            *remaining_events[:whole_events],
+            *(
+                half[: self.partial_event_bytes]
+                for half in remaining_events[whole_events : whole_events + 1]
+            ),
+        ]
 
     def _event(self, number: int) -> bytes:
-        place = b"id: %d\n" % number if self.numbered else b""
-        return place + b"data: x%d\n\n" % number
+        id_line = b"id: %d\n" % number if self.has_event_ids else b""
+        return id_line + b"data: x%d\n\n" % number
 
 
 @dataclass(frozen=True)
@@ -223,7 +230,7 @@
     Attributes
     ----------
     notices : Headers
-        What the head says of the engine's state.
+        Headers that report the engine's state.
     """
 
     request_id: str
@@ -233,22 +240,22 @@
 
 @dataclass
 class PlatformEngine:
-    """An engine that answers by its script and remembers what it ran.
+    """An engine that answers as its script says and records its requests.
 
     Attributes
     ----------
     next_scripts : list of EngineScript
-        Scripts of the next runs, one each, before `script` holds again. Engines may share it.
+        Scripts of the next runs, one each, used before `script`. Engines may share the list.
     limit : str or None
-        The requests a second that all its answers state as its limit; one a line for several.
+        Limit in requests per second that all answers advertise; several limits one a line.
     rest : str or None
-        While set, all requests are refused with 503 and this as the seconds to stay away.
+        While set, all requests are refused with 503 and this as Retry-After, seconds.
     leaving : bool
-        Whether all its answers say that it leaves.
+        Whether all answers report that the engine is leaving.
     leaving_text : str or None
-        What they say in place of that.
+        Value of that header in place of "1".
     arrivals, answers : list of EngineEvent
-        All requests that came, and the heads of all answers, in order.
+        All requests received, and the heads of all answers, in order.
     """
 
     name: str
@@ -256,7 +263,7 @@
     next_scripts: list[EngineScript] = field(default_factory=list)
     seen: list[HttpRequest] = field(default_factory=list)
     ran: list[str] = field(default_factory=list)
-    stopped: int = 0
+    cancelled_requests: int = 0
     limit: str | None = None
     rest: str | None = None
     leaving: bool = False
@@ -270,26 +277,30 @@
         self.arrivals.append(EngineEvent(_id_of(request), trio.current_time()))
         expected = first_header(request.headers, b"x-expect-instance")
         if expected is not None and expected.decode() != self.name:
-            own = ((b"x-instance-id", self.name.encode()), *LOAD, *self._notices(request))
-            await responder.answer(421, own)
+            refusal_headers = (
+                (b"x-instance-id", self.name.encode()),
+                *LOAD,
+                *self._notices(request),
+            )
+            await responder.answer(421, refusal_headers)
             return
         script = self.next_scripts.pop(0) if self.next_scripts else self.script
         if script.not_run or self.rest is not None:
             rest = () if self.rest is None else ((RETRY_AFTER, self.rest.encode()),)
-            own = ((b"x-not-executed", b"1"), *rest, *self._notices(request, rest))
-            await responder.answer(503, own)
+            refusal_headers = ((b"x-not-executed", b"1"), *rest, *self._notices(request, rest))
+            await responder.answer(503, refusal_headers)
             return
         self.ran.append(_id_of(request))
         try:
             await self._answer(script, request, responder)
         except trio.Cancelled:
-            self.stopped += 1
+            self.cancelled_requests += 1
             raise
 
     def _notices(self, request: HttpRequest, rest: Headers = ()) -> Headers:
-        """Return what an answer that begins now says of the engine's state."""
-        stated = [] if self.limit is None else self.limit.split("\n")
-        limits = tuple((LIMIT, text.encode()) for text in stated)
+        """Return the headers that report the engine's state, and record the answer's head."""
+        advertised = [] if self.limit is None else self.limit.split("\n")
+        limits = tuple((LIMIT, text.encode()) for text in advertised)
         text = "1" if self.leaving else self.leaving_text
         leaving = () if text is None else ((LEAVING, text.encode()),)
         notices = (*limits, *leaving)
@@ -302,10 +313,10 @@
         seal = () if script.unsigned else ((b"x-response-seal", self.name.encode()),)
         own_id = b"other" if script.wrong_id else _id_of(request).encode()
         last = int(first_header(request.headers, b"last-event-id") or 0)
-        if script.sound and not script.events:
+        if script.well_formed and not script.events:
             await trio.sleep(script.gap_s)
         headers = ((ID, own_id), *seal, *LOAD, *self._notices(request))
-        if not script.sound:
+        if not script.well_formed:
             await self._answer_raw(script, headers, last, responder)
         elif script.events:
             await responder.start(200, headers, None)
--- a/railtide/standins/program.py
+++ b/railtide/standins/program.py
@@ -1,4 +1,4 @@
-"""The program `railtide-standin`: one stand-in as a process, for tests and trials."""
+"""The program `railtide-standin`: runs one stand-in as a process, for tests and experiments."""
 
 import time
 from collections.abc import Awaitable, Callable
@@ -12,7 +12,7 @@
 from railtide.standins.engine import Engine, make_engine_app
 from railtide.standins.faults import Faults
 from railtide.standins.instances import InstanceStore, make_instances_app
-from railtide.standins.log import MOST_RECORDS, LogStore, make_log_app
+from railtide.standins.log import MAX_RECORDS, LogStore, make_log_app
 from railtide.standins.service import PlainService, make_service_app
 
 __all__ = ["engine", "instances", "log", "main", "service"]
@@ -26,11 +26,11 @@
     return int(time.time() * MS)
 
 
-def log(*, bind: str = "127.0.0.1:0", most_records: int = MOST_RECORDS) -> None:
+def log(*, bind: str = "127.0.0.1:0", most_records: int = MAX_RECORDS) -> None:
     """Serve the append-only log.
 
     :param bind: host:port to listen on
-    :param most_records: records kept of each stream
+    :param most_records: records retained per stream
     """
     store = LogStore(now_ms, most_records)
     _serve(make_log_app(store, Faults()), bind)
@@ -40,7 +40,7 @@
     """Serve the instance list.
 
     :param bind: host:port to listen on
-    :param lag_s: age of the list that is answered, seconds
+    :param lag_s: age of the list in answers, seconds
     """
     _serve(make_instances_app(InstanceStore(lag_s), Faults()), bind)
 
@@ -49,18 +49,18 @@
     """Serve a model engine.
 
     :param bind: host:port to listen on
-    :param token_s: seconds a token
-    :param batch: most requests generating at once
+    :param token_s: seconds per token
+    :param batch: maximum of requests generating at once
     """
-    made = Engine(token_s, batch)
-    _serve(make_engine_app(made, Faults()), bind, made.run)
+    started = Engine(token_s, batch)
+    _serve(make_engine_app(started, Faults()), bind, started.run)
 
 
 def service(*, bind: str = "127.0.0.1:0", work_s: float = 0.005) -> None:
     """Serve a plain service.
 
     :param bind: host:port to listen on
-    :param work_s: seconds a call
+    :param work_s: seconds per call
     """
     _serve(make_service_app(PlainService(work_s), Faults()), bind)
 
--- a/railtide/standins/service.py
+++ b/railtide/standins/service.py
@@ -1,4 +1,4 @@
-"""Stand-in for a plain service: echoes, counts what it ran, and remembers recent request ids."""
+"""Stand-in for a plain service: echoes requests and counts how often each request id ran."""
 
 from collections import OrderedDict
 from dataclasses import dataclass
@@ -16,13 +16,13 @@
 
 JSON = "application/json"
 NOT_RUN = {"x-run": "not-run"}
-OTHER_ID = "rt-somebody-elses"
-MOST_RUNS = 200_000
+FOREIGN_ID = "rt-somebody-elses"
+MAX_RUNS = 200_000
 
 
 @dataclass
 class ServiceRun:
-    """One request and how often it took effect."""
+    """A request and how often it took effect."""
 
     request_id: str
     path: str
@@ -41,11 +41,11 @@
 
     @property
     def running(self) -> int:
-        """Calls under way."""
+        """Number of calls in progress."""
         return len(self.open_ids)
 
     async def call(self, request_id: str, path: str, body: str) -> bytes:
-        """Take effect and return the answer."""
+        """Run a call, count that it took effect, and return the answer."""
         self.open_ids.add(request_id)
         try:
             await trio.sleep(self.work_s)
@@ -53,12 +53,12 @@
             self.open_ids.discard(request_id)
         run = self.runs_by_id.setdefault(request_id, ServiceRun(request_id, path, body))
         run.times += 1
-        if len(self.runs_by_id) > MOST_RUNS:
+        if len(self.runs_by_id) > MAX_RUNS:
             self.runs_by_id.popitem(last=False)
         return self.answer(run)
 
     def run_report(self, request_id: str) -> RunReport:
-        """Return what became of a request."""
+        """Return the state of a request's run, and its answer once done."""
         if request_id in self.open_ids:
             return RunReport(RunState.RUNNING)
         run = self.runs_by_id.get(request_id)
@@ -68,7 +68,7 @@
 
     @staticmethod
     def answer(run: ServiceRun) -> bytes:
-        """Return the answer to a request that ran."""
+        """Return the answer to a completed request."""
         return msgspec.json.encode({"id": run.request_id, "path": run.path, "echo": run.body})
 
 
@@ -92,14 +92,14 @@
         body = await service.call(request_id, path, (await request.get_data()).decode())
         if faults.take(FaultKind.LOST):
             return Response("lost", 500)
-        answer_id = OTHER_ID if faults.take(FaultKind.CROSS) else request_id
+        answer_id = FOREIGN_ID if faults.take(FaultKind.CROSS) else request_id
         return Response(body, content_type=JSON, headers={"x-request-id": answer_id})
 
     return app
 
 
 def _add_state_routes(app: QuartTrio, service: PlainService) -> None:
-    """Add the routes that are not calls."""
+    """Add the routes that report or change the service's own state."""
 
     @app.get("/v1/load")
     async def load() -> Response:
@@ -120,7 +120,7 @@
 
     @app.get("/runs")
     async def runs() -> Response:
-        """Tell what truly ran, for tests."""
+        """Report how often each request ran, for tests."""
         return _json(
             [
                 {"request_id": run.request_id, "path": run.path, "times": run.times}
--- a/railtide/standins/tests/test_rollback.py
+++ b/railtide/standins/tests/test_rollback.py
@@ -1,4 +1,4 @@
-"""Tests of the stand-in's store that comes back from a copy."""
+"""Tests of the in-memory store's rollback to a copy, and of the era in the HTTP answers."""
 
 import pytest
 import trio
@@ -16,7 +16,7 @@
 
 
 class TestMemoryStore:
-    async def test_what_came_behind_the_copy_is_gone_in_all_topics(self) -> None:
+    async def test_rollback_removes_records_after_the_copy_in_all_topics(self) -> None:
         store = MemoryStore(era=1)
         store.put("t", "a", b"1")
         copy = store.copy()
@@ -28,7 +28,7 @@
         assert (await store.newest("u")).end == 0
         assert store.era == 2
 
-    async def test_offsets_are_given_out_again_and_a_copy_serves_twice(self) -> None:
+    async def test_offsets_are_reused_and_a_copy_can_be_restored_twice(self) -> None:
         store = MemoryStore(era=1)
         copy = store.copy()
         for n in range(2):
@@ -37,7 +37,7 @@
         assert (await store.newest("t")).records == []
         assert store.era == 3
 
-    async def test_offset_that_is_not_there_is_refused(self) -> None:
+    async def test_offset_of_a_former_era_is_refused(self) -> None:
         store = MemoryStore(era=1)
         store.put("t", "a", b"1")
         copy = store.copy()
@@ -48,44 +48,44 @@
         assert refused.value.first == 0
         assert (await store.read("t", 1, 0.0)).records == []
 
-    async def test_store_without_eras_answers_as_ever(self) -> None:
+    async def test_store_without_eras_returns_no_records_past_the_end(self) -> None:
         assert (await MemoryStore().read("t", 2, 0.0)).records == []
 
-    async def test_reads_that_wait_wake(self, autojump_clock) -> None:
+    async def test_rollback_wakes_waiting_reads(self, autojump_clock) -> None:
         store = MemoryStore(era=1)
         copy = store.copy()
         with trio.fail_after(1.0):
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._read_over_a_rise, store)
+                nursery.start_soon(self._read_during_a_rollback, store)
                 await trio.sleep(0.1)
                 store.roll_back(copy)
 
     @staticmethod
-    async def _read_over_a_rise(store: MemoryStore) -> None:
+    async def _read_during_a_rollback(store: MemoryStore) -> None:
         with pytest.raises(EraRisen):
             await store.read("t", 0, 30.0)
 
-    async def test_call_under_way_is_not_answered(self, autojump_clock) -> None:
+    async def test_call_in_progress_fails_without_effect(self, autojump_clock) -> None:
         store = MemoryStore(era=1)
         store.delay_s = 1.0
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._append_over_a_rise, store)
+            nursery.start_soon(self._append_during_a_rollback, store)
             await trio.sleep(0.5)
             store.roll_back({})
         assert store.topic("t").end == 0
 
     @staticmethod
-    async def _append_over_a_rise(store: MemoryStore) -> None:
+    async def _append_during_a_rollback(store: MemoryStore) -> None:
         with pytest.raises(EraRisen):
             await store.append("t", {"a": b"1"})
 
-    async def test_listeners_are_told(self) -> None:
+    async def test_rollbacks_notify_listeners(self) -> None:
         store = MemoryStore(era=1)
-        told: list[int | None] = []
-        store.on_era_rise(lambda: told.append(store.era))
+        eras: list[int | None] = []
+        store.on_era_rise(lambda: eras.append(store.era))
         store.roll_back(store.copy())
         store.roll_back(store.copy())
-        assert told == [2, 3]
+        assert eras == [2, 3]
 
 
 class TestStoreServer:
@@ -100,7 +100,7 @@
         ],
     )
     @pytest.mark.parametrize("era", [None, 3])
-    async def test_all_answers_tell_the_era(
+    async def test_all_answers_carry_the_era(
         self, target: bytes, status: int, era: int | None
     ) -> None:
         store = MemoryStore(era=era)
@@ -113,9 +113,9 @@
             with StallWatch(5.0, 5.0) as watch:
                 request = HttpRequest(b"GET", target, ((b"host", b"s"),), b"")
                 exchange = await PeerPool(HOST, port).send(request, watch)
-                told = first_header(exchange.headers, b"store-era")
-                answered = exchange.status
+                era_header = first_header(exchange.headers, b"store-era")
+                answer_status = exchange.status
                 exchange.abandon()
             nursery.cancel_scope.cancel()
-        assert told == (None if era is None else b"3")
-        assert answered == (200 if era is None and status == 410 else status)
+        assert era_header == (None if era is None else b"3")
+        assert answer_status == (200 if era is None and status == 410 else status)
--- a/railtide/standins/throttled_link.py
+++ b/railtide/standins/throttled_link.py
@@ -1,4 +1,4 @@
-"""A narrow link: a relay on loopback with a rate, a latency, and the faults of a network."""
+"""A TCP relay on loopback with limited bandwidth, a latency and injectable network faults."""
 
 import socket
 import struct
@@ -9,18 +9,18 @@
 
 __all__ = ["LinkDirection", "ThrottledLink"]
 
-MOST_CHUNK_BYTES = 1_448
-"""One segment of an Ethernet frame."""
+MAX_CHUNK_BYTES = 1_448
+"""Payload of one TCP segment in an Ethernet frame."""
 CHUNK_S = 0.05
-"""A chunk takes no more of the lane's time than this, so a slow lane passes on byte by byte."""
+"""Maximum transmission time of a chunk, so that a slow link forwards byte by byte."""
 BUFFER_BYTES = 16_384
-"""The system's buffers on the ways in, small so that what waits does so at the sender."""
-IN_FLIGHT = 64
+"""Receive buffers of the relay's sockets, small so that unsent data queues at the sender."""
+MAX_CHUNKS_IN_FLIGHT = 64
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 class LinkDirection:
-    """One direction; its rate is shared by all connections.
+    """One direction of a link, whose bandwidth all connections share.
 
     Parameters
     ----------
@@ -29,9 +29,9 @@
     Attributes
     ----------
     bytes_per_s : float
-        May be set at any time.
+        Bandwidth; may be set at any time.
     forwarded_bytes : int
-        Bytes passed on so far.
+        Bytes delivered so far.
     """
 
     def __init__(self, bytes_per_s: float) -> None:
@@ -41,11 +41,11 @@
 
     @property
     def chunk_bytes(self) -> int:
-        """Bytes that are passed on at once."""
-        return max(1, min(MOST_CHUNK_BYTES, int(self.bytes_per_s * CHUNK_S)))
+        """Bytes that are forwarded at once."""
+        return max(1, min(MAX_CHUNK_BYTES, int(self.bytes_per_s * CHUNK_S)))
 
-    async def take_turn(self, length: int) -> None:
-        """Wait until so many bytes have gone through."""
+    async def transmit(self, length: int) -> None:
+        """Wait until the link has transmitted these bytes, after all before them."""
         began = max(self._free_at, trio.current_time())
         self._free_at = began + length / self.bytes_per_s
         await trio.sleep_until(self._free_at)
@@ -53,11 +53,11 @@
 
 @dataclass(eq=False)
 class _Connection:
-    """The two ends of a connection; one that is lost passes nothing on for good."""
+    """The two ends of a connection; `blackholed` once it drops everything for good."""
 
     near: trio.SocketStream
     far: trio.SocketStream
-    lost: bool = False
+    blackholed: bool = False
 
     def close(self, reset: bool = False) -> None:
         for stream in (self.near, self.far):
@@ -67,21 +67,21 @@
 
 
 class ThrottledLink:
-    """Passes connections on to one port on loopback.
+    """Forwards connections to one port.
 
     Parameters
     ----------
     bytes_per_s : float
-        Rate in each direction.
+        Bandwidth of each direction.
     latency_s : float, optional
-        Time that each byte is on its way, beyond its turn.
+        Propagation delay of each byte, beyond its transmission time.
 
     Attributes
     ----------
     up, down : LinkDirection
-        The ways to the port and back.
+        The directions to the port and back.
     opened : int
-        Connections so far.
+        Connections opened so far.
     """
 
     def __init__(self, bytes_per_s: float, latency_s: float = 0.0) -> None:
@@ -94,7 +94,7 @@
         self._passing.set()
 
     async def open(self, nursery: trio.Nursery, host: str, port: int) -> int:
-        """Begin to pass connections on, and return the port to connect to on the same host."""
+        """Start to forward connections; return the port to connect to on the same host."""
 
         async def relay(near: trio.SocketStream) -> None:
             await self._relay(near, host, port)
@@ -107,25 +107,25 @@
     # -- faults -------------------------------------------------------------------------------
 
     def pause(self) -> None:
-        """Pass nothing on, on any connection, until `resume`; no byte is lost."""
+        """Hold all data on all connections until `resume`; no byte is lost."""
         if self._passing.is_set():
             self._passing = trio.Event()
 
     def resume(self) -> None:
-        """Pass on again, first what was held."""
+        """Forward again, held data first."""
         self._passing.set()
 
     def blackhole_connections(self) -> None:
-        """Make the connections that are open now silent for good; new ones work."""
+        """Drop all further data of the open connections without closing them; new ones work."""
         for connection in self._connections:
-            connection.lost = True
+            connection.blackholed = True
 
     def reset_connections(self) -> None:
-        """Reset the connections that are open now; new ones work."""
+        """Reset the open connections; new ones work."""
         for connection in list(self._connections):
             connection.close(reset=True)
 
-    # -- passing on ---------------------------------------------------------------------------
+    # -- forwarding ---------------------------------------------------------------------------
 
     async def _relay(self, near: trio.SocketStream, host: str, port: int) -> None:
         far = await trio.open_tcp_stream(host, port)
@@ -135,56 +135,56 @@
         self.opened += 1
         try:
             async with trio.open_nursery() as nursery:
-                for way in ((near, far, self.up), (far, near, self.down)):
-                    nursery.start_soon(self._pass, connection, *way, nursery.cancel_scope)
+                for ends in ((near, far, self.up), (far, near, self.down)):
+                    nursery.start_soon(self._forward, connection, *ends, nursery.cancel_scope)
         finally:
             self._connections.discard(connection)
             connection.close()
 
-    async def _pass(
+    async def _forward(
         self,
         connection: _Connection,
         source: trio.SocketStream,
         target: trio.SocketStream,
-        lane: LinkDirection,
+        direction: LinkDirection,
         scope: trio.CancelScope,
     ) -> None:
-        """Pass one direction on to its end, which ends the connection."""
-        send, receive = trio.open_memory_channel[tuple[float, bytes]](IN_FLIGHT)
+        """Forward one direction until its end, then cancel the whole connection."""
+        send, receive = trio.open_memory_channel[tuple[float, bytes]](MAX_CHUNKS_IN_FLIGHT)
         try:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._take, connection, source, lane, send)
+                nursery.start_soon(self._receive, connection, source, direction, send)
                 async with receive:
                     async for due_at, chunk in receive:
                         await trio.sleep_until(due_at)
-                        await self._deliver(connection, chunk, lane, target.send_all)
+                        await self._deliver(connection, chunk, direction, target.send_all)
         except* (trio.BrokenResourceError, trio.ClosedResourceError):
-            pass  # an end is gone, and with it the connection
+            pass  # one end closed, so the whole connection is cancelled
         scope.cancel()
 
-    async def _take(
+    async def _receive(
         self,
         connection: _Connection,
         source: trio.SocketStream,
-        lane: LinkDirection,
+        direction: LinkDirection,
         send: trio.MemorySendChannel[tuple[float, bytes]],
     ) -> None:
-        """Read chunks, each when its turn on the lane has come."""
+        """Read chunks, delayed by their transmission times."""
         async with send:
-            while chunk := await source.receive_some(lane.chunk_bytes):
+            while chunk := await source.receive_some(direction.chunk_bytes):
                 await self._passing.wait()
-                if not connection.lost:
-                    await lane.take_turn(len(chunk))
+                if not connection.blackholed:
+                    await direction.transmit(len(chunk))
                     await send.send((trio.current_time() + self._latency_s, chunk))
 
     async def _deliver(
         self,
         connection: _Connection,
         chunk: bytes,
-        lane: LinkDirection,
+        direction: LinkDirection,
         send_all: Callable[[bytes], Awaitable[None]],
     ) -> None:
         await self._passing.wait()
-        if not connection.lost:
+        if not connection.blackholed:
             await send_all(chunk)
-            lane.forwarded_bytes += len(chunk)
+            direction.forwarded_bytes += len(chunk)
--- a/tests/edge_soak/crashes.py
+++ b/tests/edge_soak/crashes.py
@@ -8,7 +8,7 @@
 
 from railtide.containment.registry import TOPIC
 from railtide.http.client import PeerPool
-from railtide.standins.crashing_engine import CRASH_MARK
+from railtide.standins.crashing_engine import CRASH_PREFIX
 from tests.edge_soak.callers import KINDS, Attempt, Callers
 from tests.edge_soak.faults import FAULTS, LENGTH_S, Planned
 from tests.edge_soak.fleet import Fleet, World
@@ -27,7 +27,7 @@
 ]
 
 CRASH_WORLD = World(engines=0, callers=8, stayers=4, prepaid=400_000, crashing=5)
-BAD = CRASH_MARK + b" the same each time"
+BAD = CRASH_PREFIX + b" the same each time"
 EACH_S = 0.3
 """Between two times that the content comes."""
 ENDING_S = 10.0
@@ -55,7 +55,7 @@
 
 
 async def _kill_engine(fleet: Fleet, rng: Random, length: float) -> None:
-    rng.choice(fleet.crashing).end()
+    rng.choice(fleet.crashing).crash()
 
 
 CRASHES: dict[str, Callable[[Fleet, Random, float], Awaitable[None]]] = {
--- a/tests/edge_soak/faults.py
+++ b/tests/edge_soak/faults.py
@@ -38,7 +38,7 @@
     EngineScript(events=EVENTS, gap_s=0.03, unsigned=True),
     EngineScript(events=EVENTS, gap_s=0.6),
     EngineScript(events=EVENTS, gap_s=0.03, break_after=3, framing=Framing.LENGTH),
-    EngineScript(events=EVENTS, gap_s=0.03, break_after=3, half_bytes=0, reset=True),
+    EngineScript(events=EVENTS, gap_s=0.03, break_after=3, partial_event_bytes=0, reset=True),
     EngineScript(events=EVENTS, gap_s=0.03, framing=Framing.CLOSE),
     EngineScript(events=EVENTS, gap_s=0.03, extra=True),
     EngineScript(events=EVENTS, gap_s=0.03, framing=Framing.CLOSE, extra=True),
--- a/tests/matrix/ports.py
+++ b/tests/matrix/ports.py
@@ -331,5 +331,5 @@
     while not run.done:
         if run.cancelled:
             raise UpstreamLost("cancelled")
-        await run.grown.wait()
+        await run.output_changed.wait()
     yield run.body(answer_id)
--- a/tests/matrix/world.py
+++ b/tests/matrix/world.py
@@ -329,7 +329,7 @@
             self.dead_engines.append(engine)
             for run in engine.runs_by_id.values():
                 run.cancelled = True
-                run.grown.set()
+                run.output_changed.set()
 
     def mark_leaving(self, name: str) -> None:
         for instance in self.platform.instances.listed():
