--- a/railtide/demo/__init__.py
+++ b/railtide/demo/__init__.py
@@ -1,1 +1,1 @@
-"""The demo: both users' deployments in small, in one process."""
+"""Demo: scaled-down deployments of both users in one process."""
--- a/railtide/demo/deployment.py
+++ b/railtide/demo/deployment.py
@@ -1,4 +1,4 @@
-"""A whole deployment as tasks of one process: stand-ins, keepers and routers on loopback."""
+"""A deployment as tasks of one process: stand-ins, keepers and routers on loopback."""
 
 import time
 from collections.abc import Mapping
@@ -38,15 +38,15 @@
 
 HOST = "127.0.0.1"
 MS = 1000
-SESSION_S = 20.0
-TICK_S = 0.05
+SESSION_TIMEOUT_S = 20.0
+POLL_INTERVAL_S = 0.05
 KEEPER_OPTIONS = KeeperOptions(list_interval_s=0.5)
 ROUTER_OPTIONS = RouterOptions(address_ttl_s=1.0)
 
 
 @dataclass(frozen=True)
 class Account:
-    """A client account of the plan: its API key is its name."""
+    """A client account of a plan, whose API key is its name."""
 
     name: str
     units: int
@@ -55,15 +55,16 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """A user's deployment in small.
+    """A scaled-down deployment of a user.
 
     Attributes
     ----------
     domains : tuple of str
-        Failure domains; entry instances and upstreams are spread over them.
+        Failure domains; routers, keepers and upstreams are spread over them in turn.
     routers, engines, services : int
     model, service, once : str
-        Names of the model and the plain service, and the path that runs at most once.
+        Names of the model and the plain service, and the service's path of requests that run at
+        most once.
     """
 
     name: str
@@ -81,7 +82,7 @@
 
 @dataclass
 class Deployment:
-    """A running plan."""
+    """The running parts of a plan."""
 
     plan: Plan
     nursery: trio.Nursery
@@ -95,89 +96,103 @@
 
     @property
     def balances(self) -> dict[str, Balance]:
-        """The budgets as the first keeper has folded them."""
+        """The budgets by account, in the first keeper's state."""
         return self.keepers[0].keeper.state.by_account
 
     def domain(self, number: int) -> str:
-        """Return the failure domain of the instance of that number."""
+        """Return the failure domain of an instance by its number."""
         return self.plan.domains[number % len(self.plan.domains)]
 
 
 async def start_deployment(plan: Plan, nursery: trio.Nursery, rng: Random) -> Deployment:
-    """Start a plan and return once its configuration is in force at every router."""
-    made = Deployment(plan, nursery)
-    instances_url = _start_platform(made)
-    _start_upstreams(made)
+    """Start a plan and return once its configuration is active at every router."""
+    deployment = Deployment(plan, nursery)
+    instances_url = _start_platform(deployment)
+    _start_upstreams(deployment)
     for number in range(plan.routers):
-        keeper_bind = _start_keeper(made, number, instances_url, rng)
-        _start_router(made, number, keeper_bind, rng)
-    await _publish(made)
-    await _wait_until_in_force(made)
-    return made
+        keeper_bind = _start_keeper(deployment, number, instances_url, rng)
+        _start_router(deployment, number, keeper_bind, rng)
+    await _publish_configuration(deployment)
+    await _wait_until_active(deployment)
+    return deployment
 
 
-def _serve(made: Deployment, app: object) -> Bind:
+def _serve(deployment: Deployment, app: object) -> Bind:
     bind = bind_socket(HOST, 0)
-    made.nursery.start_soon(serve_http, app, bind)
+    deployment.nursery.start_soon(serve_http, app, bind)
     return bind
 
 
-def _start_platform(made: Deployment) -> str:
+def _start_platform(deployment: Deployment) -> str:
     store = LogStore(lambda: int(time.time() * MS))
-    made.log_url = f"http://{_serve(made, make_log_app(store, made.log_faults)).address}"
-    return f"http://{_serve(made, make_instances_app(made.instances, Faults())).address}"
+    deployment.log_url = (
+        f"http://{_serve(deployment, make_log_app(store, deployment.log_faults)).address}"
+    )
+    return (
+        f"http://{_serve(deployment, make_instances_app(deployment.instances, Faults())).address}"
+    )
 
 
-def _start_upstreams(made: Deployment) -> None:
-    plan = made.plan
+def _start_upstreams(deployment: Deployment) -> None:
+    plan = deployment.plan
     for number in range(plan.engines):
         engine = Engine(plan.token_s, batch=plan.slots * plan.routers)
-        made.engines.append(engine)
-        made.nursery.start_soon(engine.run)
-        bind = _serve(made, make_engine_app(engine, Faults()))
-        _list(made, f"engine-{number}", bind, number, Role.ENGINE, plan.model)
+        deployment.engines.append(engine)
+        deployment.nursery.start_soon(engine.run)
+        bind = _serve(deployment, make_engine_app(engine, Faults()))
+        _add_to_instance_list(deployment, f"engine-{number}", bind, number, Role.ENGINE, plan.model)
     for number in range(plan.services):
         service = PlainService()
-        made.plain_services.append(service)
-        bind = _serve(made, make_service_app(service, Faults()))
-        _list(made, f"service-{number}", bind, number, Role.SERVICE, plan.service)
-
-
-def _list(made: Deployment, name: str, bind: Bind, number: int, role: str, pool: str) -> None:
-    made.instances.put(
-        Instance(name, "1", bind.address, made.domain(number), role, pool, made.plan.slots)
+        deployment.plain_services.append(service)
+        bind = _serve(deployment, make_service_app(service, Faults()))
+        _add_to_instance_list(
+            deployment, f"service-{number}", bind, number, Role.SERVICE, plan.service
+        )
+
+
+def _add_to_instance_list(
+    deployment: Deployment, name: str, bind: Bind, number: int, role: str, pool: str
+) -> None:
+    deployment.instances.put(
+        Instance(
+            name, "1", bind.address, deployment.domain(number), role, pool, deployment.plan.slots
+        )
     )
 
 
-def _start_keeper(made: Deployment, number: int, instances_url: str, rng: Random) -> Bind:
+def _start_keeper(deployment: Deployment, number: int, instances_url: str, rng: Random) -> Bind:
     bind = bind_socket(HOST, 0)
-    identity = Identity(f"instance-{number}", made.domain(number), bind.address, new_incarnation())
+    identity = Identity(
+        f"instance-{number}", deployment.domain(number), bind.address, new_incarnation()
+    )
     parts = make_keeper(
         identity,
-        open_http_log(made.log_url),
+        open_http_log(deployment.log_url),
         open_http_instance_list(instances_url),
         KEEPER_OPTIONS,
         rng,
     )
-    made.keepers.append(parts)
+    deployment.keepers.append(parts)
     listener = trio.SocketListener(trio.socket.from_stdlib_socket(bind.sock))
-    made.nursery.start_soon(parts.keeper.run)
-    made.nursery.start_soon(serve_tcp, parts.keeper, parts.direct, [listener])
+    deployment.nursery.start_soon(parts.keeper.run)
+    deployment.nursery.start_soon(serve_tcp, parts.keeper, parts.direct, [listener])
     return bind
 
 
-def _start_router(made: Deployment, number: int, keeper: Bind, rng: Random) -> None:
+def _start_router(deployment: Deployment, number: int, keeper: Bind, rng: Random) -> None:
     bind = bind_socket(HOST, 0)
-    identity = Identity(f"instance-{number}", made.domain(number), bind.address, new_incarnation())
+    identity = Identity(
+        f"instance-{number}", deployment.domain(number), bind.address, new_incarnation()
+    )
     connect = partial(connect_tcp, keeper.host, keeper.port)
     router = Router(identity, [connect], HttpUpstreams(), ROUTER_OPTIONS, rng)
-    made.routers.append(router)
-    made.nursery.start_soon(router.run)
-    made.nursery.start_soon(serve_http, make_app(router), bind)
+    deployment.routers.append(router)
+    deployment.nursery.start_soon(router.run)
+    deployment.nursery.start_soon(serve_http, make_app(router), bind)
 
 
-async def _publish(made: Deployment) -> None:
-    plan = made.plan
+async def _publish_configuration(deployment: Deployment) -> None:
+    plan = deployment.plan
     template = {"models": [plan.model], "services": [plan.service], "grant_min": 500}
     objects = [
         ("model", plan.model, {"pool": plan.model, "price_in": 1, "price_out": 2}),
@@ -192,21 +207,23 @@
         }
         objects.append(("account", account.name, body))
     options = KeeperOptions(append_interval_s=0)
-    async with open_session(open_http_log(made.log_url), options, SESSION_S) as session:
+    async with open_session(
+        open_http_log(deployment.log_url), options, SESSION_TIMEOUT_S
+    ) as session:
         for kind, name, body in objects:
             await session.submit(Proposal(kind, name, 0, msgspec.json.encode(body)))
         for account in plan.accounts:
             await session.submit(TopUp(account.name, account.units, f"first-{account.name}"))
 
 
-async def _wait_until_in_force(made: Deployment) -> None:
-    wanted = {account.name for account in made.plan.accounts}
+async def _wait_until_active(deployment: Deployment) -> None:
+    wanted = {account.name for account in deployment.plan.accounts}
     while True:
-        await trio.sleep(TICK_S)
-        if all(_is_in_force(router, wanted) for router in made.routers):
+        await trio.sleep(POLL_INTERVAL_S)
+        if all(_is_active(router, wanted) for router in deployment.routers):
             return
 
 
-def _is_in_force(router: Router, wanted: set[str]) -> bool:
+def _is_active(router: Router, wanted: set[str]) -> bool:
     known = {name for name in wanted if router.directory.settings(name)}
     return router.ready and known == wanted and len(router.schedulers_by_pool) > 1
--- a/railtide/demo/program.py
+++ b/railtide/demo/program.py
@@ -1,4 +1,4 @@
-"""The program `railtide-demo`: both users' days in small, ending in a table."""
+"""The program `railtide-demo`: runs scaled-down workloads of both users and prints tables."""
 
 import sys
 from random import Random
@@ -7,8 +7,8 @@
 from pydantic import BaseModel, Field
 
 from railtide.demo.deployment import Account, Deployment, Plan, start_deployment
-from railtide.demo.report import lines_of, table_of
-from railtide.demo.workload import Caller, Seen, run_callers
+from railtide.demo.report import account_rows, format_table
+from railtide.demo.workload import Caller, Outcomes, run_callers
 from railtide.settings import checked, run_program
 from railtide.standins.faults import Fault, FaultKind
 from railtide.telemetry.logs import set_up_logs
@@ -63,7 +63,7 @@
 
 
 class DemoSettings(BaseModel):
-    """Checked settings of the demo."""
+    """Validated settings of the demo."""
 
     seconds: float = Field(ge=2, le=3600)
 
@@ -71,12 +71,12 @@
 def demo(*, seconds: float = 12.0, outage: bool = True, log_level: str = "WARNING") -> None:
     """Run both users' workloads through stand-ins, keepers and routers of this process.
 
-    A table for each ends the run. With an outage, the platform's log is down for a sixth of
-    each workload's time.
+    Prints a table for each. With an outage, the platform's log is down for a sixth of each
+    workload's time.
 
     :param seconds: length of each workload, seconds
-    :param outage: let the log fail in the middle
-    :param log_level: least level of log lines
+    :param outage: take the log down in the middle of each workload
+    :param log_level: minimum level of log lines
     """
     settings = checked(DemoSettings, seconds=seconds)
     set_up_logs("railtide-demo", log_level)
@@ -87,31 +87,31 @@
 async def _run_plan(plan: Plan, callers: list[Caller], seconds: float, outage: bool) -> None:
     rng = Random(SEED)
     async with trio.open_nursery() as nursery:
-        _say(f"starting {plan.routers} instances, {plan.engines} engines")
-        made = await start_deployment(plan, nursery, rng)
-        _say(f"serving for {seconds:.0f} s")
+        _print_progress(f"starting {plan.routers} instances, {plan.engines} engines")
+        deployment = await start_deployment(plan, nursery, rng)
+        _print_progress(f"serving for {seconds:.0f} s")
         if outage:
-            nursery.start_soon(_fail_log, made, seconds)
-        seen = await run_callers(made, callers, seconds, rng)
+            nursery.start_soon(_fail_log, deployment, seconds)
+        outcomes = await run_callers(deployment, callers, seconds, rng)
         await trio.sleep(SETTLE_S)
-        _print_table(made, seen)
+        _print_table(deployment, outcomes)
         nursery.cancel_scope.cancel()
 
 
-async def _fail_log(made: Deployment, seconds: float) -> None:
+async def _fail_log(deployment: Deployment, seconds: float) -> None:
     await trio.sleep(seconds / 2)
-    _say("the log goes down")
-    made.log_faults.set(Fault(FaultKind.DOWN))
+    _print_progress("the log is down")
+    deployment.log_faults.set(Fault(FaultKind.DOWN))
     await trio.sleep(seconds / 6)
-    made.log_faults.clear()
-    _say("the log is back")
+    deployment.log_faults.clear()
+    _print_progress("the log is up again")
 
 
-def _print_table(made: Deployment, seen: dict[str, Seen]) -> None:
-    print(table_of(made.plan.name, lines_of(made, seen)) + "\n", flush=True)
+def _print_table(deployment: Deployment, outcomes: dict[str, Outcomes]) -> None:
+    print(format_table(deployment.plan.name, account_rows(deployment, outcomes)) + "\n", flush=True)
 
 
-def _say(what: str) -> None:
+def _print_progress(what: str) -> None:
     print(f"  {what}", file=sys.stderr, flush=True)
 
 
--- a/railtide/demo/report.py
+++ b/railtide/demo/report.py
@@ -1,13 +1,13 @@
-"""The demo's table."""
+"""The demo's table: requests, latencies and budget of each client account."""
 
 from dataclasses import dataclass
 from math import ceil
 
 from railtide.budgets.balance import available, stranded
 from railtide.demo.deployment import Deployment
-from railtide.demo.workload import Seen
+from railtide.demo.workload import Outcomes
 
-__all__ = ["Line", "lines_of", "table_of"]
+__all__ = ["AccountRow", "account_rows", "format_table"]
 
 EXHAUSTED = "budget-exhausted"
 HEAD = (
@@ -17,8 +17,8 @@
 
 
 @dataclass(frozen=True)
-class Line:
-    """One account's line; times are to the first byte, amounts in units."""
+class AccountRow:
+    """The row of one account; latencies are to the first byte, amounts in budget units."""
 
     account: str
     urgency: str
@@ -34,32 +34,34 @@
     stranded: int
 
 
-def lines_of(made: Deployment, seen_by_account: dict[str, Seen]) -> list[Line]:
-    """Return a line for each account."""
-    lines = []
-    for account in made.plan.accounts:
-        seen = seen_by_account[account.name]
-        balance = made.balances[account.name]
-        refused = sum(seen.refused_by_code.values())
-        exhausted = seen.refused_by_code[EXHAUSTED]
+def account_rows(
+    deployment: Deployment, outcomes_by_account: dict[str, Outcomes]
+) -> list[AccountRow]:
+    """Return the row of each account."""
+    rows = []
+    for account in deployment.plan.accounts:
+        outcomes = outcomes_by_account[account.name]
+        balance = deployment.balances[account.name]
+        refused = sum(outcomes.refused_by_code.values())
+        exhausted = outcomes.refused_by_code[EXHAUSTED]
         used = balance.billed + balance.wasted
-        lines.append(
-            Line(
+        rows.append(
+            AccountRow(
                 account.name,
                 str(account.parameters.get("urgency", "bulk")),
-                seen.requests,
-                seen.answered,
+                outcomes.requests,
+                outcomes.answered,
                 exhausted,
                 refused - exhausted,
-                _quantile(seen.first_byte_ms, 0.5),
-                _quantile(seen.first_byte_ms, 0.99),
+                _quantile(outcomes.first_byte_ms, 0.5),
+                _quantile(outcomes.first_byte_ms, 0.99),
                 balance.topped_up,
                 balance.billed,
                 max(0, used - balance.topped_up, -available(balance)),
                 stranded(balance),
             )
         )
-    return lines
+    return rows
 
 
 def _quantile(values: list[float], share: float) -> float:
@@ -69,26 +71,26 @@
     return ordered[min(len(ordered) - 1, ceil(share * len(ordered)) - 1)]
 
 
-def table_of(title: str, lines: list[Line]) -> str:
+def format_table(title: str, accounts: list[AccountRow]) -> str:
     """Return the table as text."""
-    rows = [HEAD, *(_cells(line) for line in lines)]
+    rows = [HEAD, *(_cells(account) for account in accounts)]
     widths = [max(len(row[column]) for row in rows) for column in range(len(HEAD))]
     printed = ["  ".join(c.rjust(w) for c, w in zip(row, widths, strict=True)) for row in rows]
     return "\n".join([title, *printed])
 
 
-def _cells(line: Line) -> tuple[str, ...]:
+def _cells(row: AccountRow) -> tuple[str, ...]:
     return (
-        line.account,
-        line.urgency,
-        str(line.requests),
-        str(line.answered),
-        str(line.out_of_budget),
-        str(line.false_refusals),
-        f"{line.p50_ms:.0f}",
-        f"{line.p99_ms:.0f}",
-        str(line.prepaid),
-        str(line.billed),
-        str(line.overspend),
-        str(line.stranded),
+        row.account,
+        row.urgency,
+        str(row.requests),
+        str(row.answered),
+        str(row.out_of_budget),
+        str(row.false_refusals),
+        f"{row.p50_ms:.0f}",
+        f"{row.p99_ms:.0f}",
+        str(row.prepaid),
+        str(row.billed),
+        str(row.overspend),
+        str(row.stranded),
     )
