--- a/railtide/platform/tests/test_answer_ends.py
+++ b/railtide/platform/tests/test_answer_ends.py
@@ -111,7 +111,7 @@
             await add_engines(w, EngineScript(events=EVENTS, framing=Framing.CLOSE))
             assert await read(await w.ask("/stream/x")) == (events(EVENTS), True)
 
-    @pytest.mark.parametrize("half_bytes", [0, 5])
+    @pytest.mark.parametrize("partial_event_bytes", [0, 5])
     async def test_reset_is_never_whole(self, partial_event_bytes: int) -> None:
         async with world() as w:
             cut = EngineScript(
