--- a/bench/control.py
+++ b/bench/control.py
@@ -1,4 +1,4 @@
-"""Control cost of a node: keeper CPU, bytes and appends, idle and a request; memory.
+"""Control cost of a node: CPU, appends and appended bytes, idle and per request, and memory.
 
 Run ``python -m bench.control``.
 """
@@ -19,7 +19,7 @@
 
 
 def memory_mb(pid: int) -> float:
-    """Return a process's resident memory."""
+    """Return a process's resident memory in MB."""
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmRSS:"):
             return int(line.split()[1]) / KB
@@ -27,12 +27,12 @@
 
 
 def status(address: str) -> dict:
-    """Return a keeper's status."""
+    """Return a keeper's status, as its admin address reports it."""
     return httpx.get(f"http://{address}/admin/status", trust_env=False).json()
 
 
 async def load(url: str) -> None:
-    """Send small requests from several callers."""
+    """Send small requests from concurrent callers."""
 
     async def caller(count: int) -> None:
         async with httpx.AsyncClient(timeout=30, trust_env=False) as client:
@@ -57,21 +57,23 @@
         for name, pid in pids.items():
             share = (cpu_seconds(pid) - before[name]) / IDLE_S * 100
             print(f"idle {name}: {share:.2f}% of a core, {memory_mb(pid):.0f} MB")
-        wrote = (idle["bytes_appended"] - seen["bytes_appended"]) / IDLE_S
+        appended = (idle["bytes_appended"] - seen["bytes_appended"]) / IDLE_S
         appends = (idle["appends"] - seen["appends"]) / IDLE_S
-        print(f"idle: {wrote:.0f} B/s appended, {appends:.2f} appends/s")
-        began = time.perf_counter()
+        print(f"idle: {appended:.0f} B/s appended, {appends:.2f} appends/s")
+        started_at = time.perf_counter()
         before = {name: cpu_seconds(pid) for name, pid in pids.items()}
         trio.run(load, f"http://{router.http}/v1/chat/completions")
-        took = time.perf_counter() - began
+        elapsed_s = time.perf_counter() - started_at
         busy = status(keeper.http)
         for name, pid in pids.items():
             used = (cpu_seconds(pid) - before[name]) / REQUESTS * 1e6
             print(f"{name}: {used:.0f} us CPU a request, {memory_mb(pid):.0f} MB")
-        wrote = (busy["bytes_appended"] - idle["bytes_appended"]) / REQUESTS
-        appends = (busy["appends"] - idle["appends"]) / took
-        rate = REQUESTS / took
-        print(f"{wrote:.0f} B appended a request, {appends:.1f} appends/s at {rate:.0f} requests/s")
+        appended = (busy["bytes_appended"] - idle["bytes_appended"]) / REQUESTS
+        appends = (busy["appends"] - idle["appends"]) / elapsed_s
+        rate = REQUESTS / elapsed_s
+        print(
+            f"{appended:.0f} B appended a request, {appends:.1f} appends/s at {rate:.0f} requests/s"
+        )
 
 
 if __name__ == "__main__":
--- a/bench/faults.py
+++ b/bench/faults.py
@@ -1,7 +1,7 @@
 """False refusals and stranded budget for each fault of the matrix.
 
-Run ``python -m bench.faults``. Each fault strikes at the same few steps; the table adds them up.
-A false refusal is an answer that says not-run for another reason than an exhausted budget.
+Run ``python -m bench.faults``. Each fault is injected at the same steps; the table sums them up.
+A false refusal is an answer with status not-run for a reason other than an exhausted budget.
 """
 
 from collections import Counter
@@ -54,13 +54,13 @@
 
 
 def wasted_units(world: World) -> int:
-    """Return the units used without a bill."""
+    """Return the units spent without a bill."""
     state = world.keepers["i2"].keeper.state
     return sum(balance.wasted for balance in state.by_account.values())
 
 
 def run(name: str, step: str, moment: str, template: dict) -> World:
-    """Run one cell and return its world."""
+    """Run one cell of the fault matrix and return its world."""
     triggers = [] if name == "none" else [Trigger(step, moment, FAULTS[name])]
     fix_schedule(0)
     clock = MockClock(autojump_threshold=0)
--- a/bench/keeper.py
+++ b/bench/keeper.py
@@ -1,4 +1,4 @@
-"""Slopes of the fold: time a record, memory and checkpoint bytes a budget, bytes a record.
+"""Cost of the fold: time per record, memory and checkpoint bytes per budget, bytes per record.
 
 Run ``python -m bench.keeper``.
 """
@@ -24,7 +24,7 @@
 
 
 class Sequence:
-    """Numbers entries of one holder."""
+    """Makes entries of one holder with consecutive numbers."""
 
     def __init__(self, holder: str) -> None:
         self.holder = holder
@@ -37,16 +37,16 @@
 
 
 def fold_all(state: State, entries: list[Entry]) -> float:
-    """Fold entries in batches through their encoding; return seconds an entry."""
+    """Encode entries in batches, then decode and fold them; return the seconds per entry."""
     batches = [batch_to_bytes(entries[at : at + BATCH]) for at in range(0, len(entries), BATCH)]
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     for batch in batches:
         fold(state, state.offset + 1, 1, batch_from_bytes(batch))
-    return (time.perf_counter() - began) / len(entries)
+    return (time.perf_counter() - started_at) / len(entries)
 
 
 def set_up(state: State, budgets: int) -> list[Sequence]:
-    """Fill a state with budgets, each held by `HOLDERS` holders; return the holders."""
+    """Fill a state with budgets, each with a grant to `HOLDERS` holders; return the holders."""
     writer = Sequence("operator/x/1")
     entries = [writer.entry(OpenHolder("operator", "", "", "operator", 0))]
     for index in range(budgets):
@@ -94,11 +94,11 @@
         tracemalloc.stop()
         cost = fold_all(state, request_entries(holders[0], budgets)) * 1e6
         data = state_to_bytes(state)
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         state_from_bytes(data)
-        took = time.perf_counter() - began
+        elapsed_s = time.perf_counter() - started_at
         size = len(data) / budgets
-        print(f"{budgets:7d}   {cost:9.1f}   {memory:16.2f}   {size:19.0f}   {took:9.2f}")
+        print(f"{budgets:7d}   {cost:9.1f}   {memory:16.2f}   {size:19.0f}   {elapsed_s:9.2f}")
 
 
 if __name__ == "__main__":
--- a/bench/lanes.py
+++ b/bench/lanes.py
@@ -1,4 +1,4 @@
-"""Lanes against one FIFO queue, and policies of choice on late load reports, on a virtual clock.
+"""Fair lanes against a FIFO queue, and balancing policies on late load reports; virtual clock.
 
 Run ``python -m bench.lanes``.
 """
@@ -27,16 +27,16 @@
 SLOTS = 8
 SECONDS = 60.0
 REPORT_LAG_S = 1.0
-MOST_MS = 600_000
+MAX_MS = 600_000
 
 
 def histogram() -> HdrHistogram:
     """Return an empty histogram of milliseconds."""
-    return HdrHistogram(1, MOST_MS, 3)
+    return HdrHistogram(1, MAX_MS, 3)
 
 
 def instances(slots: int) -> list[Instance]:
-    """Return the pool."""
+    """Return the pool's upstreams."""
     return [
         Instance(f"e{n}", "1", f"e{n}:1", "abc"[n % 3], "engine", "p", slots)
         for n in range(ENGINES)
@@ -44,7 +44,7 @@
 
 
 async def saturate(queue: WaitingQueue, urgent_share: int) -> dict[Urgency, HdrHistogram]:
-    """Keep bulk always waiting, send urgent requests beside it; return the waits."""
+    """Saturate the pool with bulk requests, add urgent ones; return the waiting times."""
     rng = Random(3)
     scheduler = PoolScheduler(TwoChoices(rng), queue, urgent_share, max_waiting=10_000)
     scheduler.set_upstreams(instances(SLOTS))
@@ -74,13 +74,16 @@
     return waits
 
 
-async def balance(choice: BalancingPolicy) -> HdrHistogram:
-    """Let routers that see late reports share engines of uneven speed; return answer times."""
+async def balance(policy: BalancingPolicy) -> HdrHistogram:
+    """Balance requests of routers with late load reports over engines of uneven speed.
+
+    Returns the answer times.
+    """
     rng = Random(5)
     pool = instances(1000)
     speeds = [1.0, 1.0, 1.0, 1.0, 0.4]
     load = [0] * ENGINES
-    schedulers = [PoolScheduler(choice, urgent_share=0) for _ in range(4)]
+    schedulers = [PoolScheduler(policy, urgent_share=0) for _ in range(4)]
     times = histogram()
     for scheduler in schedulers:
         scheduler.set_upstreams(pool)
@@ -138,12 +141,12 @@
             f" {bulk.get_value_at_percentile(50):8.0f} / {bulk.get_value_at_percentile(99):8.0f}"
         )
     print("choice           answer ms p50 / p99")
-    for name, choice in (
+    for name, policy in (
         ("two choices", TwoChoices(Random(1))),
         ("round robin", RoundRobin()),
         ("random", RandomChoice(Random(1))),
     ):
-        times = on_virtual_clock(balance, choice)
+        times = on_virtual_clock(balance, policy)
         print(
             f"{name:15s}  {times.get_value_at_percentile(50):8.0f} /"
             f" {times.get_value_at_percentile(99):8.0f}"
--- a/bench/lost.py
+++ b/bench/lost.py
@@ -1,9 +1,9 @@
-"""Which requests were not answered with success or came late, by the lines of all routers.
+"""Reports which requests failed or were answered late, from the log lines of all routers.
 
 ``python -m bench.lost [--since SECONDS] FILE...`` reads the structured lines of any number of
 processes, in any order, and prints each cause with its count and some request ids, then the lost
-requests by route, pool, account, router and second, and the same for answers that came late. A
-request whose cause the lines don't tell is counted as such. A time is the number that a line begins
+requests by route, pool, account, router and second, and the same for late answers. A request
+whose cause the lines don't show is counted as such. A line's time is the number that it begins
 with, else the seconds since the file's first line.
 """
 
@@ -21,12 +21,12 @@
 __all__ = [
     "Event",
     "Group",
-    "Story",
+    "RequestEvents",
     "Summary",
     "cause_of",
     "events_of",
     "lateness_of",
-    "stories_of",
+    "group_by_request",
     "summary_of",
 ]
 
@@ -36,9 +36,9 @@
 REFUSED = "budget-refused"
 ENDED = "request"
 SUCCESS = 2
-"""First digit of a status that a caller wants."""
+"""First digit of an HTTP status of success."""
 EXAMPLES = 3
-MOST_ROWS = 12
+MAX_ROWS = 12
 NO_END = "no end is told: its process died, or the line is cut"
 UNNAMED = "not told by the lines"
 FIRST_LATE = "its beginning was late"
@@ -47,7 +47,7 @@
 
 
 class Event(msgspec.Struct):
-    """What is used of a line on one request."""
+    """The fields used of a log line on one request."""
 
     event: str
     at_s: float = 0.0
@@ -69,19 +69,19 @@
 
 
 @dataclass
-class Story:
-    """The lines on one request at one router, in their order."""
+class RequestEvents:
+    """The log lines on one request at one router, in order."""
 
     events: list[Event] = field(default_factory=list)
 
     def last(self, event: str) -> Event | None:
-        """Return the last line of a kind, None if there is none."""
+        """Return the last line with an event name, None if there is none."""
         return next((e for e in reversed(self.events) if e.event == event), None)
 
 
 @dataclass
 class Group:
-    """Some requests; see the module."""
+    """Counts of some requests by cause, route, pool, account, router and second."""
 
     count_by_cause: Counter[str] = field(default_factory=Counter)
     ids_by_cause: dict[str, list[str]] = field(default_factory=lambda: defaultdict(list))
@@ -92,7 +92,7 @@
     count_by_second: Counter[int] = field(default_factory=Counter)
 
     def add(self, router: str, request_id: str, cause: str, last: Event) -> None:
-        """Count a request, of which this is the last line."""
+        """Count a request with its last line."""
         self.count_by_cause[cause] += 1
         if len(self.ids_by_cause[cause]) < EXAMPLES:
             self.ids_by_cause[cause].append(request_id)
@@ -105,7 +105,7 @@
 
 @dataclass
 class Summary:
-    """The requests that were lost, and those that were answered late."""
+    """The number of requests, and the lost and the late ones."""
 
     requests: int = 0
     lost: Group = field(default_factory=Group)
@@ -116,7 +116,7 @@
 
 
 def events_of(texts: Iterable[str]) -> Iterator[Event]:
-    """Yield the lines on requests that can be read, also where two were written into one."""
+    """Yield the parsable lines on requests, also where two were written onto one line."""
     decoder = msgspec.json.Decoder(Event)
     began = None
     for text in texts:
@@ -125,16 +125,16 @@
             try:
                 event = decoder.decode(part[: part.rfind("}") + 1])
             except msgspec.DecodeError:
-                continue  # another program's output, or a line that is cut
+                continue  # another program's output, or a truncated line
             began = began or event.time
             event.at_s = time_of(before, event.time, began)
             if event.request_id:
                 yield event
 
 
-def stories_of(events: Iterable[Event]) -> dict[tuple[str, str], Story]:
-    """Return the lines by router and request."""
-    by_request: dict[tuple[str, str], Story] = defaultdict(Story)
+def group_by_request(events: Iterable[Event]) -> dict[tuple[str, str], RequestEvents]:
+    """Group the lines by router and request."""
+    by_request: dict[tuple[str, str], RequestEvents] = defaultdict(RequestEvents)
     for event in events:
         by_request[event.service, event.request_id].events.append(event)
     return by_request
@@ -143,28 +143,28 @@
 # -- causes -----------------------------------------------------------------------------------
 
 
-def cause_of(story: Story) -> str | None:
+def cause_of(request: RequestEvents) -> str | None:
     """Return why a request was lost, None for one that was answered with success.
 
     Examples
     --------
-    >>> cause_of(Story([Event(ENDED, status=200)]))
-    >>> cause_of(Story([Event(REFUSED, cause="spent"), Event(ENDED, status=402, code="x")]))
+    >>> cause_of(RequestEvents([Event(ENDED, status=200)]))
+    >>> cause_of(RequestEvents([Event(REFUSED, cause="spent"), Event(ENDED, status=402, code="x")]))
     'budget: spent'
     >>> failed = [Event(FAILED, code="upstream-lost"), Event(LAST_TRY, reason="once-only")]
-    >>> cause_of(Story([*failed, Event(ENDED, status=502, code="outcome-unknown")]))
+    >>> cause_of(RequestEvents([*failed, Event(ENDED, status=502, code="outcome-unknown")]))
     'upstream-lost: once-only'
     """
-    ended = story.last(ENDED)
+    ended = request.last(ENDED)
     if ended is None:
         return NO_END
     if ended.status // 100 == SUCCESS:
         return None
-    refused = story.last(REFUSED)
+    refused = request.last(REFUSED)
     if refused and refused.cause:
         return f"budget: {refused.cause}"
-    last_try = story.last(LAST_TRY)
-    failed = story.last(FAILED)
+    last_try = request.last(LAST_TRY)
+    failed = request.last(FAILED)
     if failed and last_try:
         return f"{failed.code}: {last_try.reason}"
     if failed:
@@ -172,18 +172,18 @@
     return ended.code or UNNAMED
 
 
-def lateness_of(story: Story) -> str | None:
-    """Return in what a request that was answered with success was late, None if in nothing.
+def lateness_of(request: RequestEvents) -> str | None:
+    """Return which goal a successful request missed, None if it missed none.
 
     Examples
     --------
-    >>> lateness_of(Story([Event(ENDED, status=200, first_ms=80.0, goal_ms=100.0)]))
-    >>> lateness_of(Story([Event(ENDED, status=200, first_ms=120.0, goal_ms=100.0)]))
+    >>> lateness_of(RequestEvents([Event(ENDED, status=200, first_ms=80.0, goal_ms=100.0)]))
+    >>> lateness_of(RequestEvents([Event(ENDED, status=200, first_ms=120.0, goal_ms=100.0)]))
     'its beginning was late'
-    >>> lateness_of(Story([Event(ENDED, status=200, pause_ms=500.0, pause_goal_ms=400.0)]))
+    >>> lateness_of(RequestEvents([Event(ENDED, status=200, pause_ms=500.0, pause_goal_ms=400.0)]))
     'it paused for too long'
     """
-    ended = story.last(ENDED)
+    ended = request.last(ENDED)
     if ended.goal_ms and (ended.first_ms or 0.0) > ended.goal_ms:
         return FIRST_LATE
     if ended.pause_goal_ms and (ended.pause_ms or 0.0) > ended.pause_goal_ms:
@@ -195,15 +195,15 @@
 
 
 def summary_of(events: Iterable[Event]) -> Summary:
-    """Return the requests that some lines tell as lost or late."""
+    """Count the lost and the late requests of some lines."""
     summary = Summary()
-    for (router, request_id), story in stories_of(events).items():
+    for (router, request_id), request in group_by_request(events).items():
         summary.requests += 1
-        cause = cause_of(story)
+        cause = cause_of(request)
         group = summary.lost if cause else summary.late
-        cause = cause or lateness_of(story)
+        cause = cause or lateness_of(request)
         if cause:
-            group.add(router, request_id, cause, story.events[-1])
+            group.add(router, request_id, cause, request.events[-1])
     return summary
 
 
@@ -227,8 +227,8 @@
 
 
 def _rows(name: str, counts: Counter[str]) -> Iterator[str]:
-    shown = " ".join(f"{key}:{count}" for key, count in counts.most_common(MOST_ROWS))
-    left_out = len(counts) - MOST_ROWS
+    shown = " ".join(f"{key}:{count}" for key, count in counts.most_common(MAX_ROWS))
+    left_out = len(counts) - MAX_ROWS
     yield f"by {name}: {shown}" + (f" and {left_out} more" if left_out > 0 else "")
 
 
--- a/bench/overhead.py
+++ b/bench/overhead.py
@@ -1,6 +1,6 @@
 """Router overhead against calling the upstream directly, and router CPU per stream chunk.
 
-Run ``python -m bench.overhead``. Real processes on loopback; figures are ratios within one run.
+Run ``python -m bench.overhead``. Real processes on loopback; only ratios within one run compare.
 """
 
 import os
@@ -32,7 +32,7 @@
 
 
 def cpu_seconds(pid: int) -> float:
-    """Return the processor time that a process has used."""
+    """Return the CPU time that a process has used, seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / TICKS
 
@@ -44,29 +44,29 @@
 
 
 async def measure_calls(url: str, callers: int) -> Latency:
-    """Return the latency of small calls from so many callers at once."""
+    """Return the latency of small calls from a number of concurrent callers."""
     times: list[float] = []
 
     async def caller(count: int, number: int) -> None:
         async with httpx.AsyncClient(timeout=30, trust_env=False) as client:
             for index in range(count):
                 headers = KEY | {"x-request-id": f"d-{callers}-{number}-{index}"}
-                began = time.perf_counter()
+                started_at = time.perf_counter()
                 answer = await client.post(url, json=body(1, False), headers=headers)
                 assert answer.status_code == 200, answer.text
-                times.append(time.perf_counter() - began)
+                times.append(time.perf_counter() - started_at)
 
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     async with trio.open_nursery() as nursery:
         for number in range(callers):
             nursery.start_soon(caller, CALLS // callers, number)
-    took = time.perf_counter() - began
+    elapsed_s = time.perf_counter() - started_at
     quantiles = statistics.quantiles(times, n=PERCENT)
-    return Latency(quantiles[49] * 1000, quantiles[98] * 1000, len(times) / took)
+    return Latency(quantiles[49] * 1000, quantiles[98] * 1000, len(times) / elapsed_s)
 
 
 async def read_streams(url: str, streams: int) -> None:
-    """Read so many streams at once to their end."""
+    """Read a number of concurrent streams to their end."""
 
     async def reader(number: int) -> None:
         headers = KEY | {"x-request-id": f"s-{streams}-{number}-{time.time_ns()}"}
@@ -83,7 +83,7 @@
 
 
 def chunk_cost(url: str, streams: int, pid: int) -> float:
-    """Return the processor time of a process for one chunk, microseconds."""
+    """Return the CPU time of a process per chunk, microseconds."""
     before = cpu_seconds(pid)
     trio.run(read_streams, url, streams)
     return (cpu_seconds(pid) - before) / (streams * CHUNKS) * 1e6
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -1,8 +1,8 @@
-"""Budget policy on a virtual clock: adaptive grants, fixed grants, equal static shares.
+"""Grant policies on a virtual clock: adaptive grants, fixed grants, equal static shares.
 
 Run ``python -m bench.policy``. Real budget sources and the real fold; the log is in memory with a
-delay, and each router can be cut off from it. A false refusal is one made while the budget, with
-all that is in hands, would have covered the request.
+delay, and each router can be cut off from it. A false refusal is one made while the budget,
+including all routers' allocations, would have covered the request.
 """
 
 from collections.abc import Callable
@@ -29,12 +29,12 @@
 
 ROUTERS = 4
 SECONDS = 60.0
-LOG_S = 0.02
+LOG_INTERVAL_S = 0.02
 ACCOUNT = "pantry"
 SHORT = AccountSettings(grant_horizon_s=5, grant_min=200, budget_wait_s=0.5)
 LONG = AccountSettings(grant_horizon_s=30, grant_min=200, budget_wait_s=0.5)
-FIXED = 2_000
-MOST = 100
+FIXED_GRANT = 2_000
+MAX_RESERVE = 100
 
 
 @dataclass
@@ -47,8 +47,8 @@
     writers: list[Writer] = field(default_factory=list)
 
 
-class MiniLog:
-    """The fold behind a delay; entries of a cut-off node wait with its writer."""
+class InMemoryLog:
+    """An in-memory log and fold; entries of a node that is cut off wait at its writer."""
 
     def __init__(self) -> None:
         self.state = State()
@@ -74,15 +74,15 @@
                 node.budgets.apply_grant_verdict(node.budgets.epoch, submission)
 
     async def run(self) -> None:
-        """Fold what nodes have written, every `LOG_S`."""
+        """Fold the pending entries of all reachable nodes, every `LOG_INTERVAL_S`."""
         while True:
-            await trio.sleep(LOG_S)
+            await trio.sleep(LOG_INTERVAL_S)
             for node in self.nodes.values():
                 if node.reachable:
                     self._fold([e for writer in node.writers for e in writer.pending()])
 
     def add_node(self, name: str, sizing: Callable[[], GrantSizing]) -> Node:
-        """Return a node with a budget source of its own."""
+        """Add a node with its own budget source and return it."""
         node = Node(name)
 
         def open_epoch() -> Epoch:
@@ -102,7 +102,7 @@
 
 @dataclass(frozen=True)
 class Policy:
-    """How a node's grants are sized, and the account's settings that go with it."""
+    """A policy of grant sizes, and the account settings used with it."""
 
     sizing: Callable[[], GrantSizing]
     settings: AccountSettings
@@ -110,13 +110,13 @@
 
 @dataclass
 class Result:
-    """What one run showed."""
+    """Counts of one run; `overspend` and `left_allocated` are in units."""
 
     served: int = 0
     refused: int = 0
     false_refusals: int = 0
     overspend: int = 0
-    left_in_hands: int = 0
+    left_allocated: int = 0
 
 
 class Trial:
@@ -124,7 +124,7 @@
 
     def __init__(self, policy: Policy, budget: int, seed: int) -> None:
         self.settings = policy.settings
-        self.log = MiniLog()
+        self.log = InMemoryLog()
         self.result = Result()
         self.paid = budget
         self.used = 0
@@ -133,8 +133,8 @@
         self.nodes = [self.log.add_node(f"r{n}", policy.sizing) for n in range(ROUTERS)]
 
     async def request(self, node: Node, number: int) -> None:
-        """Reserve, run and settle one request, or count why not."""
-        reserve = self._rng.randint(40, MOST)
+        """Reserve, run and settle one request, or count its refusal."""
+        reserve = self._rng.randint(40, MAX_RESERVE)
         cost = self._rng.randint(10, reserve)
         deadline = trio.current_time() + 5
         try:
@@ -170,12 +170,12 @@
         """Return the figures of the run."""
         balance = self.log.state.by_account[ACCOUNT]
         self.result.overspend = max(0, self.used - self.paid)
-        self.result.left_in_hands = self.paid - balance.billed - available(balance)
+        self.result.left_allocated = self.paid - balance.billed - available(balance)
         return self.result
 
 
-async def plain(trial: Trial) -> None:
-    """Uneven load, plenty of budget for three quarters of it."""
+async def uneven_load(trial: Trial) -> None:
+    """Uneven load, and plenty of budget for three quarters of it."""
     await trial.traffic([12.0, 6.0, 3.0, 1.0])
 
 
@@ -210,7 +210,7 @@
 
 
 SCENARIOS: dict[str, tuple[Callable, int]] = {
-    "plain": (plain, 120_000),
+    "plain": (uneven_load, 120_000),
     "partition+top-up": (partition_and_top_up, 300_000),
     "log outage": (outage, 120_000),
     "near empty": (near_empty, 16_000),
@@ -222,7 +222,7 @@
     return {
         "adaptive 5 s": Policy(lambda: AdaptiveSizing(5.0, SHORT.grant_min), SHORT),
         "adaptive 30 s": Policy(lambda: AdaptiveSizing(30.0, LONG.grant_min), LONG),
-        "fixed": Policy(lambda: FixedSizing(FIXED), SHORT),
+        "fixed": Policy(lambda: FixedSizing(FIXED_GRANT), SHORT),
         "equal shares": Policy(lambda: EqualShares(budget // ROUTERS), SHORT),
     }
 
@@ -250,10 +250,10 @@
     print("scenario           policy         served  refused  false refusals  overspend  in hands")
     for name, (scenario, budget) in SCENARIOS.items():
         for policy_name, policy in policies(budget).items():
-            got = run_trial(scenario, policy, budget)
+            result = run_trial(scenario, policy, budget)
             print(
-                f"{name:18s} {policy_name:13s} {got.served:7d} {got.refused:8d}"
-                f" {got.false_refusals:15d} {got.overspend:10d} {got.left_in_hands:9d}"
+                f"{name:18s} {policy_name:13s} {result.served:7d} {result.refused:8d}"
+                f" {result.false_refusals:15d} {result.overspend:10d} {result.left_allocated:9d}"
             )
 
 
--- a/bench/quart_relay.py
+++ b/bench/quart_relay.py
@@ -1,4 +1,4 @@
-"""A plain relay of streams, quart on hypercorn with httpx: the baseline of `bench.overhead`."""
+"""A minimal relay of streams on quart, hypercorn and httpx: the baseline of `bench.overhead`."""
 
 import sys
 
@@ -12,7 +12,7 @@
 
 
 def make_app(upstream: str) -> QuartTrio:
-    """Return an application that passes every chat completion on to `upstream`."""
+    """Return an application that forwards every chat completion to `upstream`."""
     app = QuartTrio("bench.relay")
     client = httpx.AsyncClient(base_url=f"http://{upstream}", timeout=60, trust_env=False)
 
--- a/bench/refusals.py
+++ b/bench/refusals.py
@@ -1,10 +1,11 @@
-"""Why requests were refused for budget, by the lines that routers wrote.
+"""Reports why requests were refused for budget, from the log lines of routers.
 
 ``python -m bench.refusals [--since SECONDS] FILE...`` reads structured lines and prints the causes
-with their share and some request ids, the seconds in which they fell, where the units of each
-refused account were at the first word on its ledger and at its first and last refusal, what dead
-processes' hands cost, what callers were answered, and when processes were ready and served again.
-A time is the number that a line begins with, else the seconds since the file's first line.
+with their share and some request ids, the refusals per second, the distribution of each refused
+account's units in the first line on its ledger and at its first and last refusal, the cost of
+the allocations of dead processes, the answers to callers, and when processes became ready and
+served again. A line's time is the number that it begins with, else the seconds since the file's
+first line.
 """
 
 import argparse
@@ -23,10 +24,10 @@
 
 REFUSED = "budget-refused"
 STARTED = "started"
-KNOWN = "ledger-state"
-CLOSED = "former-hand-closed"
+LEDGER_STATE = "ledger-state"
+ALLOCATION_CLOSED = "former-hand-closed"
 ANSWERED = "request"
-BACK = ("ready", "serving")
+RECOVERED = ("ready", "serving")
 EXAMPLES = 3
 
 TEXT_BY_CAUSE = {
@@ -43,9 +44,9 @@
 
 
 class Line(msgspec.Struct):
-    """What is used of a router's line; units where nothing else is said.
+    """The fields used of a router's log line; amounts are in units.
 
-    `at_s` is not part of it, but when it was written.
+    `at_s` isn't part of the line: it is the time at which the line was written.
     """
 
     event: str
@@ -76,9 +77,9 @@
 
 
 @dataclass(frozen=True, order=True)
-class Death:
-    """A process that died, by the one after it: its instance, how many were started there, and what
-    the clocks said of its last reports."""
+class DeadProcess:
+    """A process that died, as its successor reports it: its instance, the number of processes
+    started there so far, and what the clocks tell of the age of its last reports."""
 
     service: str
     starts: int
@@ -86,19 +87,19 @@
 
 
 @dataclass
-class Closed:
-    """The hands of a dead process, closed from `at_s` on."""
+class ClosedAllocations:
+    """The allocations of a dead process, closed from `at_s` on."""
 
     at_s: float = 0.0
-    hands: int = 0
+    count: int = 0
     written_off: int = 0
     returned: int = 0
-    ages_s: list[float] = field(default_factory=list)
+    report_ages_s: list[float] = field(default_factory=list)
 
 
 @dataclass
 class Refused:
-    """The refusals of one account, and its lines at the first and the last of them."""
+    """The refusals of one account: their count, and the lines on the first and the last."""
 
     first: Line
     last: Line
@@ -107,7 +108,7 @@
 
 @dataclass
 class Summary:
-    """What the lines say; see the module. `known_by_account` is the first word on each ledger."""
+    """Counts of some lines; `known_by_account` holds the first line on each ledger."""
 
     refusals_by_cause: Counter[str] = field(default_factory=Counter)
     ids_by_cause: dict[str, list[str]] = field(default_factory=lambda: defaultdict(list))
@@ -115,27 +116,27 @@
     refused_by_account: dict[str, Refused] = field(default_factory=dict)
     known_by_account: dict[str, Line] = field(default_factory=dict)
     starts_by_service: Counter[str] = field(default_factory=Counter)
-    closed_by_death: dict[Death, Closed] = field(default_factory=dict)
+    closed_by_process: dict[DeadProcess, ClosedAllocations] = field(default_factory=dict)
     answers_by_code: Counter[str] = field(default_factory=Counter)
     waits_by_code: dict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
-    back: list[Line] = field(default_factory=list)
+    recovered: list[Line] = field(default_factory=list)
 
     @property
     def written_off(self) -> int:
-        """Units of dead processes' hands that count as spent, beyond what was reported."""
-        return sum(closed.written_off for closed in self.closed_by_death.values())
+        """Units allocated to dead processes that count as spent beyond the reported ones."""
+        return sum(closed.written_off for closed in self.closed_by_process.values())
 
     @property
     def returned(self) -> int:
-        """Units of dead processes' hands that went back to their budgets."""
-        return sum(closed.returned for closed in self.closed_by_death.values())
+        """Units allocated to dead processes that were returned to their budgets."""
+        return sum(closed.returned for closed in self.closed_by_process.values())
 
 
 # -- lines ------------------------------------------------------------------------------------
 
 
 def lines_of(texts: Iterable[str]) -> Iterator[Line]:
-    """Yield the lines that can be read."""
+    """Yield the parsable lines."""
     decoder = msgspec.json.Decoder(Line)
     began = None
     for text in texts:
@@ -143,14 +144,14 @@
         try:
             line = decoder.decode(brace + rest)
         except msgspec.DecodeError:
-            continue  # another program's output between ours
+            continue  # another program's output
         began = began or line.time
         line.at_s = time_of(before, line.time, began)
         yield line
 
 
 def time_of(before: str, time: str, began: str) -> float:
-    """Return when a line was written, seconds."""
+    """Return when a line was written, seconds: by its leading number, else since `began`."""
     words = before.split()
     try:
         return float(words[0])
@@ -166,11 +167,11 @@
     return (line for line in lines if line.at_s >= at_s)
 
 
-# -- what a refusal says ------------------------------------------------------------------------
+# -- causes -----------------------------------------------------------------------------------
 
 
 def state_of(line: Line) -> AccountState:
-    """Return where the units of an account were, by a line on a refusal or on its ledger.
+    """Return the distribution of an account's units, from a line on a refusal or on its ledger.
 
     Examples
     --------
@@ -178,7 +179,7 @@
     AccountState(prepaid=100, spent=30, written_off=20, in_hands=10, left=40)
     """
     prepaid, written_off = line.prepaid or 0, line.written_off or 0
-    if line.event == KNOWN:
+    if line.event == LEDGER_STATE:
         return AccountState(prepaid, line.spent, written_off, line.in_hands, line.left)
     in_hands = line.committed - line.reported
     spent = line.reported - written_off
@@ -209,21 +210,21 @@
 
 
 def summary_of(lines: Iterable[Line]) -> Summary:
-    """Return the refusals, closed hands and answers of some lines."""
+    """Count the refusals, closed allocations and answers of some lines."""
     summary = Summary()
     for line in lines:
         if line.event == REFUSED:
             _count_refusal(summary, line)
-        elif line.event == KNOWN:
+        elif line.event == LEDGER_STATE:
             summary.known_by_account.setdefault(line.account, line)
-        elif line.event == CLOSED:
+        elif line.event == ALLOCATION_CLOSED:
             _count_closed(summary, line)
         elif line.event == STARTED:
             summary.starts_by_service[line.service] += 1
         elif line.event == ANSWERED:
             _count_answer(summary, line)
-        elif line.event in BACK:
-            summary.back.append(line)
+        elif line.event in RECOVERED:
+            summary.recovered.append(line)
     return summary
 
 
@@ -239,13 +240,13 @@
 
 
 def _count_closed(summary: Summary, line: Line) -> None:
-    death = Death(line.service, summary.starts_by_service[line.service], line.clocks)
-    closed = summary.closed_by_death.setdefault(death, Closed(line.at_s))
-    closed.hands += 1
+    process = DeadProcess(line.service, summary.starts_by_service[line.service], line.clocks)
+    closed = summary.closed_by_process.setdefault(process, ClosedAllocations(line.at_s))
+    closed.count += 1
     closed.written_off += line.units
     closed.returned += line.returned
     if line.since_report_s is not None:
-        closed.ages_s.append(line.since_report_s)
+        closed.report_ages_s.append(line.since_report_s)
 
 
 def _count_answer(summary: Summary, line: Line) -> None:
@@ -266,9 +267,9 @@
     seconds = sorted(summary.refusals_by_second.items())
     yield "in second: " + " ".join(f"{second}:{count}" for second, count in seconds)
     yield from _accounts_of(summary)
-    yield from _hands_of(summary)
+    yield from _closed_allocations_of(summary)
     yield from _answers_of(summary)
-    for line in summary.back:
+    for line in summary.recovered:
         yield f"{line.event} {line.service} at {line.at_s:.2f}, {line.since_start_s} s from start"
 
 
@@ -279,13 +280,13 @@
         yield f"{account:12} {refused.count:8}"
         known = summary.known_by_account.get(account)
         if known:
-            yield f"{'':12} {'first ledger':>18} {_place_of(known)}"
-        yield f"{'':12} {'first refusal':>18} {_place_of(refused.first)}"
-        yield f"{'':12} {'last refusal':>18} {_place_of(refused.last)}"
+            yield f"{'':12} {'first ledger':>18} {_distribution_of(known)}"
+        yield f"{'':12} {'first refusal':>18} {_distribution_of(refused.first)}"
+        yield f"{'':12} {'last refusal':>18} {_distribution_of(refused.last)}"
 
 
-def _place_of(line: Line) -> str:
-    """Return where an account's units were, as parts of its budget."""
+def _distribution_of(line: Line) -> str:
+    """Return the distribution of an account's units, as shares of its budget."""
     state = state_of(line)
     whole = max(1, state.prepaid)
     shares = [state.spent, state.written_off, state.in_hands, state.left]
@@ -294,27 +295,29 @@
     return f"{line.at_s:7.2f} {state.prepaid:8} {units}"
 
 
-def _hands_of(summary: Summary) -> Iterator[str]:
+def _closed_allocations_of(summary: Summary) -> Iterator[str]:
     yield f"hands of dead processes: {summary.written_off} written off, {summary.returned} returned"
-    deaths = summary.closed_by_death.items()
-    for death, closed in sorted(deaths, key=lambda item: item[1].at_s):
-        sums = f"{closed.hands} hands, {closed.written_off} written off, {closed.returned} returned"
-        yield f"  {closed.at_s:7.2f} {death.service} {death.clocks}: {sums}{_ages_of(closed)}"
+    processes = summary.closed_by_process.items()
+    for process, closed in sorted(processes, key=lambda item: item[1].at_s):
+        sums = f"{closed.count} hands, {closed.written_off} written off, {closed.returned} returned"
+        yield f"  {closed.at_s:7.2f} {process.service} {process.clocks}: {sums}{_ages_of(closed)}"
 
 
-def _ages_of(closed: Closed) -> str:
-    """Return how long before the next process the dead one reported, nothing if it is not known."""
-    if not closed.ages_s:
+def _ages_of(closed: ClosedAllocations) -> str:
+    """Return the time from the dead process's reports to its successor's start, "" if unknown."""
+    if not closed.report_ages_s:
         return ""
-    return f", reported {min(closed.ages_s)} to {max(closed.ages_s)} s before the start"
+    return (
+        f", reported {min(closed.report_ages_s)} to {max(closed.report_ages_s)} s before the start"
+    )
 
 
 def _answers_of(summary: Summary) -> Iterator[str]:
     for code, count in summary.answers_by_code.most_common():
         waits = summary.waits_by_code[code]
-        told = f", told to come back in {statistics.median(waits):.2f} s" if waits else ""
-        most = f" (most {max(waits):.2f})" if waits else ""
-        yield f"answered {code}: {count}{told}{most}"
+        typical_wait = f", told to come back in {statistics.median(waits):.2f} s" if waits else ""
+        longest_wait = f" (most {max(waits):.2f})" if waits else ""
+        yield f"answered {code}: {count}{typical_wait}{longest_wait}"
 
 
 def main() -> None:
--- a/bench/transfers.py
+++ b/bench/transfers.py
@@ -1,7 +1,7 @@
-"""Sizes of what is transferred whole, by encoding real records: ``python -m bench.transfers``.
+"""Sizes of transfers, found by encoding real records: ``python -m bench.transfers``.
 
-Each line says what a transfer holds, its bytes at today's size and at the size to design for
-(docs/CAPACITY.md), and the seconds that a link of 5 Mbit/s needs for them without other traffic.
+Each line names a transfer, its bytes at the current size and at the size to design for
+(docs/CAPACITY.md), and the seconds that an otherwise idle link of 5 Mbit/s needs for them.
 """
 
 import time
@@ -32,16 +32,16 @@
 ROUTES_NOW = 1_880
 PARTITIONS = 3
 ENTRY_BYTES = 65_536
-"""Largest answer that is kept with its bill."""
+"""Largest answer that is stored with its bill."""
 
 
 def raw_bytes(key: str, value: bytes) -> int:
-    """Return a record's bytes in a read: its length, its key's length, key, value."""
+    """Return a record's bytes in a read: length prefix, key length, key and value."""
     return 4 + 1 + len(key.encode()) + len(value)
 
 
 def newest_bytes(key: str, value: bytes) -> int:
-    """Return a record's bytes among the newest of each key, with the comma behind it."""
+    """Return a record's bytes in an answer with the newest records, with its comma."""
     item = {"key": key, "value": b64encode(value).decode(), "offset": 1_234_567}
     return len(msgspec.json.encode(item)) + 1
 
@@ -90,7 +90,7 @@
     return "edge-region-1-0123", msgspec.msgpack.encode(found)
 
 
-def mark() -> tuple[str, bytes]:
+def observation() -> tuple[str, bytes]:
     found = CrashObservation(
         "c" * 32, "a" * 16, 1.79e9, elapsed_s=0.123, router="edge-region-1-0123"
     )
@@ -109,9 +109,14 @@
 
 
 def instance(number: int) -> Instance:
-    life = f"engine-{number:05}/1790000000000"
+    incarnation = f"engine-{number:05}/1790000000000"
     return Instance(
-        f"engine-{number:05}", life, "10.12.34.56:8000", "region-1-zone-2", "engine", "pool-01"
+        f"engine-{number:05}",
+        incarnation,
+        "10.12.34.56:8000",
+        "region-1-zone-2",
+        "engine",
+        "pool-01",
     )
 
 
@@ -136,7 +141,7 @@
     return len(batch_to_bytes([entry] * entries)) * 4 // 3
 
 
-def say(what: str, today: float, design: float) -> None:
+def print_transfer(what: str, today: float, design: float) -> None:
     print(
         f"{what:58} {today / 1000:10.1f} KB {today / LINK_BYTES_S:8.2f} s"
         f" {design / 1000:12.1f} KB {design / LINK_BYTES_S:10.2f} s"
@@ -148,68 +153,81 @@
     print(f"{'':58} {'today':>13} {'5 Mbit/s':>10} {'design':>15} {'5 Mbit/s':>12}")
     routes = ROUTES_NOW * (len(route()) + 1)
     state = routes + BUDGETS * (len(tenant()) + 1)
-    say(f"desired state, raw (route {len(route())} B, tenant {len(tenant())} B)", routes, state)
-    say("desired state among the newest", routes * 4 / 3, state * 4 / 3)
-    say(
+    print_transfer(
+        f"desired state, raw (route {len(route())} B, tenant {len(tenant())} B)", routes, state
+    )
+    print_transfer("desired state among the newest", routes * 4 / 3, state * 4 / 3)
+    print_transfer(
         f"engines among the newest (one {newest_bytes(*engine())} B)",
         ENGINES_NOW * newest_bytes(*engine()),
         ENGINES * newest_bytes(*engine()),
     )
-    say(
+    print_transfer(
         f"engines' records of 1 s, 0.8 each (one {raw_bytes(*engine())} B)",
         0.8 * ENGINES_NOW * raw_bytes(*engine()),
         0.8 * ENGINES * raw_bytes(*engine()),
     )
-    say(
+    print_transfer(
         f"roster among the newest (one {newest_bytes(*member())} B)",
         NODES_NOW * newest_bytes(*member()),
         NODES * newest_bytes(*member()),
     )
-    say(
+    print_transfer(
         f"roster's records of 1 s (one {raw_bytes(*member())} B)",
         NODES_NOW * raw_bytes(*member()),
         NODES * raw_bytes(*member()),
     )
-    marks = 4_096 * newest_bytes(*mark())
-    say(f"marks among the newest, 4,096 (one {newest_bytes(*mark())} B)", marks, marks)
-    say(f"marks in an append, 200 (one {raw_bytes(*mark())} B)", *[200 * raw_bytes(*mark())] * 2)
+    marks = 4_096 * newest_bytes(*observation())
+    print_transfer(
+        f"marks among the newest, 4,096 (one {newest_bytes(*observation())} B)", marks, marks
+    )
+    print_transfer(
+        f"marks in an append, 200 (one {raw_bytes(*observation())} B)",
+        *[200 * raw_bytes(*observation())] * 2,
+    )
     for holders in (1, 8, 86, NODES):
         one = len(ledger(holders)[1])
         print(f"    a ledger with {holders} holders: {one} B, {one / holders:.1f} B each")
     now, design = ledger(NODES_NOW), ledger(NODES)
     accounts_now, accounts = ACCOUNTS_NOW / PARTITIONS, ACCOUNTS / PARTITIONS
-    say(
+    print_transfer(
         "ledgers of a partition among the newest, all hold",
         accounts_now * newest_bytes(*now),
         accounts * newest_bytes(*design),
     )
-    say(
+    print_transfer(
         "ledgers of a partition among the newest, 8 hold",
         accounts_now * newest_bytes(*ledger(8)),
         accounts * newest_bytes(*ledger(8)),
     )
-    say(
+    print_transfer(
         "ledgers of a partition in one append, all hold",
         accounts_now * raw_bytes(*now),
         accounts * raw_bytes(*design),
     )
-    say("instance list", list_bytes(280), list_bytes(NODES + ENGINES))
-    say("members of a keeper's message", members_bytes(280), members_bytes(NODES + ENGINES))
-    say(
+    print_transfer("instance list", list_bytes(280), list_bytes(NODES + ENGINES))
+    print_transfer(
+        "members of a keeper's message", members_bytes(280), members_bytes(NODES + ENGINES)
+    )
+    print_transfer(
         f"objects at a subscription (one {object_bytes()} B)",
         ACCOUNTS_NOW * object_bytes(),
         BUDGETS * object_bytes(),
     )
-    say("a group append of 512 bills in base64", batch_bytes(512, 0), batch_bytes(512, ENTRY_BYTES))
-    say("a part of a checkpoint in base64", 262_144 * 4 / 3, 262_144 * 4 / 3)
-    say("a checkpoint in base64 (363 B a budget)", 24 * 363 * 4 / 3, BUDGETS * 363 * 4 / 3)
+    print_transfer(
+        "a group append of 512 bills in base64", batch_bytes(512, 0), batch_bytes(512, ENTRY_BYTES)
+    )
+    print_transfer("a part of a checkpoint in base64", 262_144 * 4 / 3, 262_144 * 4 / 3)
+    print_transfer(
+        "a checkpoint in base64 (363 B a budget)", 24 * 363 * 4 / 3, BUDGETS * 363 * 4 / 3
+    )
     print()
     for what, work in computations().items():
         print(f"{what:58} {seconds(work):8.3f} s of processor time")
 
 
 def seconds(work: Callable[[], object]) -> float:
-    """Return the processor time of one run."""
+    """Return the CPU time of one run, seconds."""
     began = time.process_time()
     work()
     return time.process_time() - began
@@ -225,7 +243,7 @@
 
 
 def computations() -> dict[str, Callable[[], object]]:
-    """Return what a router works out of a transfer at once, while all else waits."""
+    """Return the computations that block a router's event loop after a transfer, by name."""
     sources = PlatformSources()
     state_now, state = state_record(ROUTES_NOW, 24), state_record(ROUTES_NOW, BUDGETS)
     marks = [
--- a/bench/world.py
+++ b/bench/world.py
@@ -16,7 +16,7 @@
 
 @contextmanager
 def bench_world(token_s: float) -> Iterator[Deployment]:
-    """Yield one engine, one keeper and one router with an account that has plenty."""
+    """Yield one engine, keeper and router, and an account with an ample budget."""
     with deployment() as world:
         world.start_platform()
         world.engine = world.start_engine("e1", "a", "brief-pool", token_s)
@@ -30,7 +30,7 @@
 
 
 def wait_until_served(router: str) -> None:
-    """Return once a router answers the bench account; raises TimeoutError."""
+    """Return once a router serves the bench account; raises TimeoutError after `READY_S`."""
     body = {"model": "brief", "messages": [{"role": "user", "content": "tokens=1"}]}
     url = f"http://{router}/v1/chat/completions"
     until = time.monotonic() + READY_S
@@ -38,4 +38,4 @@
         if httpx.post(url, json=body, headers=KEY, trust_env=False).status_code == 200:
             return
         time.sleep(0.1)
-    raise TimeoutError("the router does not serve")
+    raise TimeoutError(f"router {router} did not serve within {READY_S} s")
--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -2,7 +2,16 @@
 
 import msgspec
 
-from bench.refusals import Death, Line, cause_of, lines_of, since, state_of, summary_of, table_of
+from bench.refusals import (
+    DeadProcess,
+    Line,
+    cause_of,
+    lines_of,
+    since,
+    state_of,
+    summary_of,
+    table_of,
+)
 from railtide.budgets.account_log import AccountState, RefusalCause
 
 TIME = "2030-01-01T00:00:01.500+00:00"
@@ -100,16 +109,16 @@
             line("former-hand-closed", units=1, returned=9, **proved),
         ]
         summary = summary_of(lines_of(texts))
-        closed = summary.closed_by_death
-        units = {death: closed[death].written_off for death in sorted(closed)}
+        closed = summary.closed_by_process
+        units = {process: closed[process].written_off for process in sorted(closed)}
         assert units == {
-            Death("i1", 0, "another-boot"): 12,
-            Death("i1", 1, "another-boot"): 4,
-            Death("i1", 1, "proved"): 1,
-            Death("i2", 0, "another-boot"): 2,
+            DeadProcess("i1", 0, "another-boot"): 12,
+            DeadProcess("i1", 1, "another-boot"): 4,
+            DeadProcess("i1", 1, "proved"): 1,
+            DeadProcess("i2", 0, "another-boot"): 2,
         }
-        last = closed[Death("i1", 1, "proved")]
-        assert (last.hands, last.returned, last.ages_s) == (1, 9, [0.4])
+        last = closed[DeadProcess("i1", 1, "proved")]
+        assert (last.count, last.returned, last.report_ages_s) == (1, 9, [0.4])
         table = "\n".join(table_of(summary))
         assert "hands of dead processes: 19 written off, 9 returned" in table
         assert "i1 another-boot: 2 hands, 12 written off, 0 returned" in table
