--- a/railtide/budgets/tests/test_large_partition.py
+++ b/railtide/budgets/tests/test_large_partition.py
@@ -12,7 +12,7 @@
 from railtide.configuration.models import AccountSettings
 from railtide.journal.keyed import KeyedPage
 from railtide.standins.keyed_store import MemoryStore
-from railtide.standins.narrow_stream import NARROW_BYTES_S
+from railtide.standins.throttled_stream import THROTTLED_BYTES_PER_S
 
 OPTIONS = LedgerOptions()
 CALL_BYTES = 2_097_152
@@ -33,7 +33,7 @@
 
 def store_of_a_fleet(store: MemoryStore | None = None) -> MemoryStore:
     store = store or MemoryStore()
-    store.most_call_bytes = CALL_BYTES
+    store.max_call_bytes = CALL_BYTES
     value = ledger_to_bytes(ledger_of_a_fleet())
     for number in range(ACCOUNTS):
         store.put(OPTIONS.topic, f"account-{number}", value)
@@ -139,7 +139,7 @@
     async def _carry(self, page: KeyedPage) -> KeyedPage:
         size = sum(len(record.value) for record in page.records)
         self.bytes_read += size
-        await trio.sleep(size / NARROW_BYTES_S)
+        await trio.sleep(size / THROTTLED_BYTES_PER_S)
         return page
 
     async def change(self, account: str, every_s: float) -> None:
@@ -188,7 +188,7 @@
             await trio.sleep(20)
             changed = Ledger(closed=1_000_000)
             store.put(OPTIONS.topic, "account-7", ledger_to_bytes(changed))
-            store.topic(OPTIONS.topic).forget()
+            store.topic(OPTIONS.topic).compact()
             await trio.sleep(20)
             assert part.budget_for("account-7").is_exhausted(1)
             nursery.cancel_scope.cancel()
--- a/railtide/platform/tests/test_answer_endings.py
+++ b/railtide/platform/tests/test_answer_endings.py
@@ -77,9 +77,9 @@
 
     async def test_stream_without_event_ids_is_not_restarted(self) -> None:
         async with router_environment() as env:
-            cut = EngineScript(events=EVENTS, break_after=2, numbered=False)
+            cut = EngineScript(events=EVENTS, break_after=2, has_event_ids=False)
             remaining = await add_scripted_engines(
-                env, cut, EngineScript(events=EVENTS, numbered=False)
+                env, cut, EngineScript(events=EVENTS, has_event_ids=False)
             )
             assert await read(await env.send("/resume/x")) == (b"data: x1\n\ndata: x2\n\n", False)
             assert len(remaining) == 1
@@ -102,7 +102,9 @@
 
     async def test_stream_without_an_event_is_not_complete(self) -> None:
         """It can't be distinguished from one whose engine was lost after the head."""
-        empty = EngineScript(events=EVENTS, break_after=0, half_bytes=0, framing=Framing.CLOSE)
+        empty = EngineScript(
+            events=EVENTS, break_after=0, partial_event_bytes=0, framing=Framing.CLOSE
+        )
         async with router_environment() as env:
             cut = EngineScript(events=EVENTS, break_after=2)
             await add_scripted_engines(env, empty, cut, empty)
@@ -114,13 +116,13 @@
             await add_scripted_engines(env, EngineScript(events=EVENTS, framing=Framing.CLOSE))
             assert await read(await env.send("/stream/x")) == (events(EVENTS), True)
 
-    @pytest.mark.parametrize("half_bytes", [0, 5])
-    async def test_reset_is_never_complete(self, half_bytes: int) -> None:
+    @pytest.mark.parametrize("partial_event_bytes", [0, 5])
+    async def test_reset_is_never_complete(self, partial_event_bytes: int) -> None:
         async with router_environment() as env:
             cut = EngineScript(
                 events=EVENTS,
                 break_after=2,
-                half_bytes=half_bytes,
+                partial_event_bytes=partial_event_bytes,
                 framing=Framing.CLOSE,
                 reset=True,
             )
@@ -146,7 +148,7 @@
     EngineScript,
     events=st.just(EVENTS),
     break_after=st.integers(-1, EVENTS),
-    half_bytes=st.sampled_from([0, 4, 6, 15]),
+    partial_event_bytes=st.sampled_from([0, 4, 6, 15]),
     framing=st.sampled_from(list(Framing)),
     reset=st.booleans(),
 )
@@ -180,7 +182,7 @@
     if attempt.framing is Framing.LENGTH:
         return all_sent
     sent = (EVENTS if all_sent else attempt.break_after) - already_forwarded
-    return not attempt.reset and sent > 0 and (all_sent or not attempt.half_bytes)
+    return not attempt.reset and sent > 0 and (all_sent or not attempt.partial_event_bytes)
 
 
 def expected(attempts: list[EngineScript]) -> tuple[int, bool]:
--- a/railtide/platform/tests/test_cancelled_reads.py
+++ b/railtide/platform/tests/test_cancelled_reads.py
@@ -15,10 +15,10 @@
         """`refresh` also cancels a read that makes progress, whose records were discarded."""
         async with feed_environment() as env:
             await add_known_keys(env, ["a", "b"])
-            before = env.link.down.passed_bytes
+            before = env.link.down.forwarded_bytes
             for key in ("a", "b"):
                 env.memory.put(TOPIC, key, ONE_SECOND)
             await wait_until_received(env.link, 1.5 * len(ONE_SECOND))
             env.feed.refresh()
             await wait_until(lambda: env.keys[-1:] == ["b"])
-            assert env.link.down.passed_bytes - before < 2.9 * len(ONE_SECOND)
+            assert env.link.down.forwarded_bytes - before < 2.9 * len(ONE_SECOND)
--- a/railtide/platform/tests/test_crashing_requests.py
+++ b/railtide/platform/tests/test_crashing_requests.py
@@ -35,7 +35,7 @@
 from railtide.platform.tests.test_end_to_end import desired_state, serve
 from railtide.platform.upstreams import PlatformUpstreams
 from railtide.standins.answers import Framing
-from railtide.standins.crashing_engine import CRASH_MARK, CrashingEngine
+from railtide.standins.crashing_engine import CRASH_PREFIX, CrashingEngine
 from railtide.standins.keyed_store import MemoryStore
 from railtide.standins.platform import EngineScript, StoreServer, engine_entry
 from railtide.telemetry.counters import Counters
@@ -48,7 +48,7 @@
 """After the third crash, until no router forwards the content any more; 3 s are permitted."""
 MIN_SERVED_SHARE = 0.95
 """Share of the other requests that are served: one in flight at two crashes has no attempt left."""
-CRASHING_BODY = CRASH_MARK + b" the same each time"
+CRASHING_BODY = CRASH_PREFIX + b" the same each time"
 
 
 @dataclass
@@ -119,7 +119,9 @@
 
     def crash_times(self) -> list[float]:
         """Return the times at which engines crashed, in order."""
-        return sorted(at for engine in self.engines for at in engine.ended_at_by_life.values())
+        return sorted(
+            at for engine in self.engines for at in engine.crashed_at_by_incarnation.values()
+        )
 
     def arrivals(self, body: bytes) -> list[float]:
         """Return the times at which a body reached engines, in order."""
@@ -192,18 +194,18 @@
     @pytest.mark.parametrize("path", ["/safe/x", "/once/x", "/stream/x", "/resume/x", "/open/x"])
     @pytest.mark.parametrize("begins", [True, False])
     async def test_three_engines_crash_on_any_route(self, path: str, begins: bool) -> None:
-        async with crashing_fleet(begins=begins) as fleet:
+        async with crashing_fleet(sends_head=begins) as fleet:
             await send_crashing_requests(fleet, 9, path)
             assert len(fleet.crash_times()) == MAX_CRASHES
             assert fleet.statuses_by_body[CRASHING_BODY][-1] == 503
 
     async def test_restart_under_the_same_id_is_another_incarnation(self) -> None:
-        async with crashing_fleet(keeps_id=True, down_s=0.05) as fleet:
+        async with crashing_fleet(keeps_id=True, restart_delay_s=0.05) as fleet:
             await send_crashing_requests(fleet, 9)
             assert len(fleet.crash_times()) == MAX_CRASHES
 
     async def test_engine_that_restarts_at_once_counts_as_crashed(self) -> None:
-        async with crashing_fleet(down_s=0.0) as fleet:
+        async with crashing_fleet(restart_delay_s=0.0) as fleet:
             for number in range(9):
                 await fleet.send(number % ROUTERS, CRASHING_BODY)
                 await trio.sleep(0.5)
@@ -264,7 +266,7 @@
             for number in range(9):
                 await fleet.send(number % ROUTERS, CRASHING_BODY, "/once/x")
                 await trio.sleep(0.2)
-            fleet.store.do_late()
+            fleet.store.apply_late_appends()
             assert len(fleet.crash_times()) == MAX_CRASHES
 
 
@@ -286,7 +288,7 @@
                 nursery.start_soon(send_other_requests, fleet, 5.0, 0.03)
                 for number in range(8):
                     await trio.sleep(0.6)
-                    fleet.engines[number % ENGINES].end()
+                    fleet.engines[number % ENGINES].crash()
             codes = [code for codes in fleet.refusals_by_body.values() for code in codes]
             assert "content-held" not in codes
 
@@ -328,17 +330,17 @@
                         await trio.sleep(0.01)
                 (busy,) = [engine for engine in fleet.engines if engine.arrivals]
                 entry = engine_entry(f"{HOST}:{busy.port}") | {"state": "draining"}
-                fleet.store.put("keyed.servers", busy.life, msgspec.json.encode(entry))
+                fleet.store.put("keyed.servers", busy.incarnation, msgspec.json.encode(entry))
                 await trio.sleep(0.5)
-                busy.end()
+                busy.crash()
             await trio.sleep(0.3)
             assert fleet.store.topic(TOPIC).end == 0
 
 
 class TestCrashedEngine:
     async def test_listed_address_without_a_listener_is_tried_once(self) -> None:
-        async with crashing_fleet(down_s=60.0) as fleet:
-            fleet.engines[0].end()
+        async with crashing_fleet(restart_delay_s=60.0) as fleet:
+            fleet.engines[0].crash()
             for number in range(30):
                 await fleet.send(0, b"%d" % number, "/safe/x")
             counted = fleet.nodes[0].counters.value("attempts_failed_upstream_refused")
--- a/railtide/platform/tests/test_drained_domains.py
+++ b/railtide/platform/tests/test_drained_domains.py
@@ -178,7 +178,7 @@
             env.store.down = True
             await trio.sleep(0.3)
             (withdraw_drain if withdrawn else order_drain)(env.store, "a")
-            env.store.topic("keyed.op").forget()
+            env.store.topic("keyed.op").compact()
             env.store.down = False
             await wait_until(
                 lambda: env.node.drained_domains == (set() if withdrawn else {"a"}), 2.0
--- a/railtide/platform/tests/test_end_to_end.py
+++ b/railtide/platform/tests/test_end_to_end.py
@@ -24,8 +24,8 @@
 from railtide.platform.tests.hosts import HOST
 from railtide.platform.upstreams import PlatformUpstreams
 from railtide.standins.keyed_store import MemoryStore
-from railtide.standins.narrow_link import NarrowLink
 from railtide.standins.platform import EngineScript, PlatformEngine, StoreServer, engine_entry
+from railtide.standins.throttled_link import ThrottledLink
 from railtide.telemetry.counters import Counters
 
 ROUTE = {"host": "h.example", "service": "s", "timeout_ms": 3000, "goal_ms": 500}
@@ -121,7 +121,7 @@
 async def router_environment(
     state: bytes | None = None,
     suspensions: SuspensionDetector | None = None,
-    link: NarrowLink | None = None,
+    link: ThrottledLink | None = None,
     store: MemoryStore | None = None,
     instance: str = "i1",
 ) -> AsyncIterator[RouterEnvironment]:
@@ -337,7 +337,7 @@
             answer = await env.send("/stream/x")
             answer.abandon()
             with trio.fail_after(5):
-                while not engine.stopped:
+                while not engine.cancelled_requests:
                     await trio.sleep(0.01)
 
     async def test_route_timeout_ends_a_request(self) -> None:
--- a/railtide/platform/tests/test_large_desired_state.py
+++ b/railtide/platform/tests/test_large_desired_state.py
@@ -19,7 +19,7 @@
     desired_state,
     router_environment,
 )
-from railtide.standins.narrow_link import NarrowLink
+from railtide.standins.throttled_link import ThrottledLink
 
 LINK_BYTES_PER_S = 100_000
 """A fifth of the slowest real links; the states are smaller by the same factor."""
@@ -72,17 +72,17 @@
 class TestLargeState:
     async def test_it_is_applied_after_a_loss_of_the_store(self) -> None:
         """A read that follows an outage has no long poll, and so the shortest timeout."""
-        link = NarrowLink(LINK_BYTES_PER_S)
+        link = ThrottledLink(LINK_BYTES_PER_S)
         async with router_environment(link=link) as env:
             await env.add_engine("e1")
-            link.reset_open()
+            link.reset_connections()
             publish(env, 2, LARGE_TRANSFER_S)
             await wait_until_in_force(env, 2)
             assert [(await env.send(path)).status for path in (OLD_PATH, NEW_PATH)] == [200, 200]
 
     async def test_it_is_applied_at_a_start(self) -> None:
         state = large_state(1, LARGE_TRANSFER_S / BASE64_GROWTH)
-        async with router_environment(state, link=NarrowLink(LINK_BYTES_PER_S)) as env:
+        async with router_environment(state, link=ThrottledLink(LINK_BYTES_PER_S)) as env:
             await env.add_engine("e1")
             assert [(await env.send(path)).status for path in (OLD_PATH, NEW_PATH)] == [200, 200]
 
@@ -94,25 +94,25 @@
         2.0 s were abandoned when the first answer began, 0.1 s before their own. Each new attempt
         started at the end of the store's queue.
         """
-        link = NarrowLink(LINK_BYTES_PER_S)
+        link = ThrottledLink(LINK_BYTES_PER_S)
         transfer_s = 1.2
         async with router_environment(link=link) as env:
             env.store.delay_s = SLOW_S
-            link.reset_open()
+            link.reset_connections()
             publish(env, 2, transfer_s)
             with trio.fail_after(SLOW_S + transfer_s + ATTEMPT_S):
                 await wait_until_in_force(env, 2)
 
     async def test_other_topics_are_read_during_the_transfer(self, lines) -> None:
-        link = NarrowLink(LINK_BYTES_PER_S)
+        link = ThrottledLink(LINK_BYTES_PER_S)
         async with router_environment(link=link) as env:
-            before = link.down.passed_bytes
+            before = link.down.forwarded_bytes
             size = publish(env, 2, LARGE_TRANSFER_S)
-            await wait_until(lambda: link.down.passed_bytes - before > size / 5)
+            await wait_until(lambda: link.down.forwarded_bytes - before > size / 5)
             await env.add_engine("e1")
             assert (await env.send("/stream/x", *TOKENS)).status == 200
             assert env.node.snapshot.version == 1
-            assert link.down.passed_bytes - before < size
+            assert link.down.forwarded_bytes - before < size
             await wait_until_in_force(env, 2)
             assert lost_topics(lines) == set()
 
@@ -121,20 +121,20 @@
     async def test_superseded_version_is_not_read_after_an_outage(
         self, lines: list[dict[str, object]]
     ) -> None:
-        link = NarrowLink(LINK_BYTES_PER_S)
+        link = ThrottledLink(LINK_BYTES_PER_S)
         async with router_environment(link=link) as env:
-            link.hold()
+            link.pause()
             await wait_until(lambda: "keyed.op" in lost_topics(lines))
             sizes = [publish(env, version, 1.2) for version in (2, 3)]
-            link.lose_open()
-            before = link.down.passed_bytes
-            link.pass_on()
+            link.blackhole_connections()
+            before = link.down.forwarded_bytes
+            link.resume()
             await wait_until_in_force(env, 3)
-            assert link.down.passed_bytes - before < 1.3 * BASE64_GROWTH * sizes[-1]
+            assert link.down.forwarded_bytes - before < 1.3 * BASE64_GROWTH * sizes[-1]
 
     async def test_last_of_many_rapid_versions_is_applied(self) -> None:
         """Versions are published faster than the link can carry them."""
-        link = NarrowLink(LINK_BYTES_PER_S)
+        link = ThrottledLink(LINK_BYTES_PER_S)
         async with router_environment(link=link) as env:
             in_force: list[int] = []
             env.node.on_snapshot = lambda snapshot: in_force.append(snapshot.version)
@@ -142,6 +142,6 @@
                 size = publish(env, version, 0.8)
                 await trio.sleep(0.33)
             assert len(in_force) >= 2
-            before = link.down.passed_bytes
+            before = link.down.forwarded_bytes
             await wait_until_in_force(env, 15)
-            assert link.down.passed_bytes - before < 2.3 * BASE64_GROWTH * size
+            assert link.down.forwarded_bytes - before < 2.3 * BASE64_GROWTH * size
--- a/railtide/platform/tests/test_outdated_configuration.py
+++ b/railtide/platform/tests/test_outdated_configuration.py
@@ -38,7 +38,7 @@
     write_without_waking,
 )
 from railtide.standins.keyed_store import MemoryStore
-from railtide.standins.narrow_link import NarrowLink
+from railtide.standins.throttled_link import ThrottledLink
 
 NEW_ROUTE = ROUTES[0] | {"name": "new", "path_prefix": "/new/"}
 CONFIGURATION = "keyed.op"
@@ -269,7 +269,7 @@
         return float(first_header(answer.headers, b"retry-after"))
 
     async def test_retry_after_estimates_the_end_of_the_transfer(self) -> None:
-        link = NarrowLink(LINK_BYTES_PER_S)
+        link = ThrottledLink(LINK_BYTES_PER_S)
         async with router_environment(link=link) as env:
             await env.add_engine("e")
             publish(env, 2, self.TRANSFER_S)
@@ -294,7 +294,7 @@
 
     async def test_unknown_route_is_refused_once_the_topic_is_read_to_its_end(self) -> None:
         """The state does not cover versions that were published during its transfer."""
-        link = NarrowLink(LINK_BYTES_PER_S)
+        link = ThrottledLink(LINK_BYTES_PER_S)
         async with router_environment(link=link) as env:
             publish(env, 2, self.TRANSFER_S)
             await wait_until_in_force(env, 2)
@@ -308,7 +308,7 @@
     async def test_transfer_that_takes_too_long_is_reported(
         self, lines: list[dict[str, object]]
     ) -> None:
-        link = NarrowLink(LINK_BYTES_PER_S)
+        link = ThrottledLink(LINK_BYTES_PER_S)
         async with router_environment(link=link) as env:
             publish(env, 2, self.TRANSFER_S)
             await wait_until(lambda: not env.node.ready)
@@ -327,7 +327,7 @@
     ) -> None:
         monkeypatch.setattr(freshness, "MAX_BEHIND_S", 0.5)
         store = MemoryStore()
-        link = NarrowLink(LINK_BYTES_PER_S)
+        link = ThrottledLink(LINK_BYTES_PER_S)
         async with AsyncExitStack() as stack:
             slow = await stack.enter_async_context(router_environment(store=store, link=link))
             fast = [
@@ -346,7 +346,7 @@
             assert slow.node.snapshot.version == 2
 
     async def test_interrupted_transfer_keeps_the_configuration_outdated(self) -> None:
-        link = NarrowLink(LINK_BYTES_PER_S)
+        link = ThrottledLink(LINK_BYTES_PER_S)
         async with router_environment(link=link) as env:
             await env.add_engine("e")
             publish(env, 2, self.TRANSFER_S)
@@ -355,7 +355,7 @@
                 await trio.sleep(0.3)
                 await assert_outdated(await env.send(NEW_PATH))
                 assert not env.node.configuration_is_current()
-                link.reset_open()
+                link.reset_connections()
             await wait_until_in_force(env, 2)
             assert (await env.send(NEW_PATH)).status == 200
 
@@ -412,7 +412,7 @@
     ) -> None:
         monkeypatch.setattr(freshness, "MAX_BEHIND_S", 0.5)
         store = MemoryStore()
-        link = NarrowLink(LINK_BYTES_PER_S)
+        link = ThrottledLink(LINK_BYTES_PER_S)
         async with AsyncExitStack() as stack:
             slow = await stack.enter_async_context(router_environment(store=store, link=link))
             fast = [
@@ -444,7 +444,7 @@
             routers = [
                 await stack.enter_async_context(
                     router_environment(
-                        store=store, link=NarrowLink(LINK_BYTES_PER_S), instance=name
+                        store=store, link=ThrottledLink(LINK_BYTES_PER_S), instance=name
                     )
                 )
                 for name in ("i1", "i2", "i3")
@@ -464,7 +464,7 @@
         """A single current router is fewer than callers are given addresses of."""
         monkeypatch.setattr(freshness, "MAX_BEHIND_S", 0.5)
         store = MemoryStore()
-        link = NarrowLink(LINK_BYTES_PER_S)
+        link = ThrottledLink(LINK_BYTES_PER_S)
         async with AsyncExitStack() as stack:
             slow = await stack.enter_async_context(router_environment(store=store, link=link))
             fast = await stack.enter_async_context(router_environment(store=store, instance="i2"))
--- a/railtide/platform/tests/test_slow_link.py
+++ b/railtide/platform/tests/test_slow_link.py
@@ -17,8 +17,8 @@
 from railtide.platform.tests.hosts import HOST
 from railtide.platform.tests.test_end_to_end import router_environment
 from railtide.standins.keyed_store import MemoryStore
-from railtide.standins.narrow_link import NarrowLink
 from railtide.standins.platform import StoreServer
+from railtide.standins.throttled_link import ThrottledLink
 from railtide.telemetry.counters import Counters
 
 TOPIC = "keyed.t"
@@ -35,7 +35,7 @@
 class FeedEnvironment:
     """A store behind a link, its client, and a feed whose records are collected."""
 
-    def __init__(self, link: NarrowLink, memory: MemoryStore, address: str) -> None:
+    def __init__(self, link: ThrottledLink, memory: MemoryStore, address: str) -> None:
         self.link = link
         self.memory = memory
         counters = Counters()
@@ -56,7 +56,7 @@
 async def feed_environment(handler: Handler | None = None) -> AsyncIterator[FeedEnvironment]:
     """Yield an environment whose feed has caught up once."""
     memory = MemoryStore()
-    link = NarrowLink(LINK_BYTES_PER_S)
+    link = ThrottledLink(LINK_BYTES_PER_S)
     listener = await listen(HOST, 0)
     async with trio.open_nursery() as nursery:
         server = HttpServer(handler or StoreServer(memory).handle, ConnectionLimits())
@@ -75,10 +75,10 @@
             await trio.sleep(0.01)
 
 
-async def wait_until_received(link: NarrowLink, count: float) -> None:
+async def wait_until_received(link: ThrottledLink, count: float) -> None:
     """Wait until `count` more bytes have been received over the link."""
-    target = link.down.passed_bytes + count
-    await wait_until(lambda: link.down.passed_bytes >= target)
+    target = link.down.forwarded_bytes + count
+    await wait_until(lambda: link.down.forwarded_bytes >= target)
 
 
 def failed_or_hedged_calls(env: FeedEnvironment) -> int:
@@ -90,13 +90,13 @@
     async def test_timeout_grows_until_a_late_answer_arrives(self) -> None:
         async with feed_environment() as env:
             env.memory.delay_s = 1.6
-            env.link.reset_open()
+            env.link.reset_connections()
             env.memory.put(TOPIC, "a", b"1")
             await wait_until(lambda: env.keys == ["a"])
 
     async def test_grown_timeout_ends_when_the_store_answers_again(self) -> None:
         async with feed_environment() as env:
-            env.link.hold()
+            env.link.pause()
             for _ in range(2):
                 with pytest.raises(LogUnavailable):
                     await env.client.newest(TOPIC)
@@ -106,8 +106,8 @@
                 await trio.sleep(0.05)
                 nursery.start_soon(_newest_until_lost, env.client, lost)
                 await trio.sleep(0.05)
-                env.link.lose_open()
-                env.link.pass_on()
+                env.link.blackhole_connections()
+                env.link.resume()
                 await env.client.newest(TOPIC)
                 with trio.fail_after(2.0):
                     await lost.wait()
@@ -128,16 +128,16 @@
 class TestUnresponsiveStore:
     async def test_unresponsive_store_is_detected_and_found_again_in_time(self) -> None:
         async with feed_environment() as env:
-            env.link.hold()
+            env.link.pause()
             await wait_until(lambda: not env.feed.reachable, DETECTION_S)
             env.memory.put(TOPIC, "a", b"1")
-            env.link.lose_open()
-            env.link.pass_on()
+            env.link.blackhole_connections()
+            env.link.resume()
             await wait_until(lambda: env.keys == ["a"], DETECTION_S)
 
     async def test_dead_connection_is_detected_in_time(self) -> None:
         async with feed_environment() as env:
-            env.link.lose_open()
+            env.link.blackhole_connections()
             env.memory.put(TOPIC, "a", b"1")
             await wait_until(lambda: env.keys == ["a"], DETECTION_S)
 
@@ -146,7 +146,7 @@
             opened = env.link.opened
             env.memory.put(TOPIC, "a", 2 * ONE_SECOND)
             await wait_until_received(env.link, len(ONE_SECOND))
-            env.link.lose_open()
+            env.link.blackhole_connections()
             await wait_until(lambda: env.link.opened > opened, DETECTION_S)
             await wait_until(lambda: env.keys == ["a"])
 
@@ -158,7 +158,7 @@
             failures = failed_or_hedged_calls(env)
             env.memory.put(TOPIC, "a", 2 * ONE_SECOND)
             await wait_until_received(env.link, len(ONE_SECOND))
-            env.link.lose_open()
+            env.link.blackhole_connections()
             await wait_until(lambda: env.keys == ["a"])
             assert failed_or_hedged_calls(env) - failures == 1
 
@@ -166,13 +166,13 @@
 class TestUnresponsiveStoreForLedgers:
     async def test_unresponsive_store_is_detected_in_time_by_the_ledgers(self) -> None:
         """Their hedged reads last longer, but the store must be reported unreachable before."""
-        link = NarrowLink(LINK_BYTES_PER_S)
+        link = ThrottledLink(LINK_BYTES_PER_S)
         async with router_environment(link=link) as env:
             await wait_until(lambda: env.node.roster.is_advertised() and env.node.budgets.reachable)
-            link.hold()
+            link.pause()
             await wait_until(lambda: not env.node.budgets.reachable, DETECTION_S)
-            link.lose_open()
-            link.pass_on()
+            link.blackhole_connections()
+            link.resume()
             await wait_until(lambda: env.node.budgets.reachable, DETECTION_S)
 
 
@@ -213,14 +213,14 @@
         async with feed_environment() as env:
             if known:
                 await add_known_keys(env, ["a", "b"])
-            before = env.link.down.passed_bytes
+            before = env.link.down.forwarded_bytes
             for key in ("a", "b"):
                 env.memory.put(TOPIC, key, ONE_SECOND)
             await wait_until_received(env.link, 1.5 * len(ONE_SECOND))
-            env.link.reset_open()
+            env.link.reset_connections()
             await wait_until(lambda: env.keys[-1:] == ["b"])
             assert env.keys == ["a", "b"]
-            assert env.link.down.passed_bytes - before < 2.7 * len(ONE_SECOND)
+            assert env.link.down.forwarded_bytes - before < 2.7 * len(ONE_SECOND)
 
     async def test_feed_is_not_current_before_the_remaining_records_arrive(self) -> None:
         async with feed_environment() as env:
@@ -228,24 +228,24 @@
             for key in ("a", "b"):
                 env.memory.put(TOPIC, key, ONE_SECOND)
             await wait_until_received(env.link, 1.5 * len(ONE_SECOND))
-            env.link.hold()
-            env.link.reset_open()
+            env.link.pause()
+            env.link.reset_connections()
             await wait_until(lambda: env.keys == ["a"])
             await trio.sleep(0.2)
             assert not env.feed.is_current()
-            env.link.pass_on()
+            env.link.resume()
             await wait_until(lambda: env.keys == ["a", "b"] and env.feed.is_current())
 
     async def test_superseded_versions_are_not_read_after_one_break(self) -> None:
         async with feed_environment() as env:
             await add_known_keys(env, ["a"])
-            before = env.link.down.passed_bytes
+            before = env.link.down.forwarded_bytes
             for number in range(4):
                 env.memory.put(TOPIC, "a", ONE_SECOND[1:] + b"%d" % number)
             await wait_until_received(env.link, 0.5 * len(ONE_SECOND))
-            env.link.reset_open()
+            env.link.reset_connections()
             await wait_until(lambda: env.records != [] and env.records[-1].value[-1:] == b"3")
-            assert env.link.down.passed_bytes - before < 3.5 * len(ONE_SECOND)
+            assert env.link.down.forwarded_bytes - before < 3.5 * len(ONE_SECOND)
 
     @pytest.mark.parametrize("known", [True, False])
     async def test_reads_progress_over_connections_too_short_for_all_records(
@@ -275,11 +275,11 @@
     """Reset the connections whenever 0.8 s worth of data has been received."""
     with trio.move_on_after(GUARD_S):
         while not is_done():
-            target = env.link.down.passed_bytes + 0.8 * len(ONE_SECOND)
+            target = env.link.down.forwarded_bytes + 0.8 * len(ONE_SECOND)
             await wait_until(
-                lambda target=target: is_done() or env.link.down.passed_bytes >= target
+                lambda target=target: is_done() or env.link.down.forwarded_bytes >= target
             )
-            env.link.reset_open()
+            env.link.reset_connections()
 
 
 async def add_known_keys(env: FeedEnvironment, keys: list[str]) -> None:
--- a/tests/edge_soak/crashes.py
+++ b/tests/edge_soak/crashes.py
@@ -8,7 +8,7 @@
 
 from railtide.containment.registry import TOPIC
 from railtide.http.client import PeerPool
-from railtide.standins.crashing_engine import CRASH_MARK
+from railtide.standins.crashing_engine import CRASH_PREFIX
 from tests.edge_soak.callers import KINDS, Attempt, Callers
 from tests.edge_soak.faults import FAULT_WINDOW_S, FAULTS, PlannedFault
 from tests.edge_soak.fleet import Fleet, World
@@ -27,7 +27,7 @@
 ]
 
 CRASH_WORLD = World(engines=0, callers=8, stayers=4, prepaid=400_000, crashing=5)
-CRASHING_BODY = CRASH_MARK + b" the same each time"
+CRASHING_BODY = CRASH_PREFIX + b" the same each time"
 SEND_INTERVAL_S = 0.3
 """Interval between two requests with the crashing content."""
 CRASHING_S = 10.0
@@ -51,11 +51,11 @@
 
 
 async def _discard_marks(fleet: Fleet, rng: Random, duration_s: float) -> None:
-    fleet.store.topic(TOPIC).forget()
+    fleet.store.topic(TOPIC).compact()
 
 
 async def _kill_engine(fleet: Fleet, rng: Random, duration_s: float) -> None:
-    rng.choice(fleet.crashing).end()
+    rng.choice(fleet.crashing).crash()
 
 
 CRASHES: dict[str, Callable[[Fleet, Random, float], Awaitable[None]]] = {
--- a/tests/edge_soak/faults.py
+++ b/tests/edge_soak/faults.py
@@ -45,7 +45,7 @@
     EngineScript(events=EVENTS, gap_s=0.03, unsigned=True),
     EngineScript(events=EVENTS, gap_s=0.6),
     EngineScript(events=EVENTS, gap_s=0.03, break_after=3, framing=Framing.LENGTH),
-    EngineScript(events=EVENTS, gap_s=0.03, break_after=3, half_bytes=0, reset=True),
+    EngineScript(events=EVENTS, gap_s=0.03, break_after=3, partial_event_bytes=0, reset=True),
     EngineScript(events=EVENTS, gap_s=0.03, framing=Framing.CLOSE),
     EngineScript(events=EVENTS, gap_s=0.03, extra=True),
     EngineScript(events=EVENTS, gap_s=0.03, framing=Framing.CLOSE, extra=True),
@@ -187,12 +187,12 @@
 async def _late_appends(fleet: Fleet, rng: Random, duration_s: float) -> None:
     fleet.store.late_appends += rng.randint(1, 6)
     await trio.sleep(duration_s)
-    fleet.store.do_late()
+    fleet.store.apply_late_appends()
 
 
 async def _compact_topics(fleet: Fleet, rng: Random, duration_s: float) -> None:
     for topic in ("keyed.op", "keyed.servers"):
-        fleet.store.topic(topic).forget()
+        fleet.store.topic(topic).compact()
 
 
 async def _publish(fleet: Fleet, rng: Random, duration_s: float) -> None:
@@ -267,4 +267,4 @@
     """Remove the faults that may outlast their injection."""
     fleet.store.lose_answers = 0
     fleet.store.late_appends = 0
-    fleet.store.do_late()
+    fleet.store.apply_late_appends()
